--- a/tests/integration/edge_rules.rs
+++ b/tests/integration/edge_rules.rs
@@ -6,7 +6,7 @@
 use wisteriaturnd::gate::standing::AnswerStanding;
 use wisteriaturnd::http::headers::EdgeNames;
 use wisteriaturnd::ingress::pipeline::HeadScanner;
-use wisteriaturnd::settings::duration_text;
+use wisteriaturnd::settings::parse_duration;
 
 const TWO_READS: &str = "GET /a/1 HTTP/1.1\r\nHost: h\r\n\r\nGET /a/2 HTTP/1.1\r\nHost: h\r\n\r\n";
 
@@ -94,5 +94,5 @@
 )]
 fn a_time_has_a_number_and_a_unit(text: &str, millis: Option<u64>) {
     let expected = millis.map(std::time::Duration::from_millis);
-    assert_eq!(duration_text(text), expected);
+    assert_eq!(parse_duration(text), expected);
 }
--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -127,10 +127,13 @@
     read = { "GET", "v1/targets", false },
     change = { "POST", "v1/changes", false },
 )]
-fn only_the_local_target_speaks_for_itself(method: &str, path: &str, is_for_target: bool) {
+fn only_the_local_target_speaks_for_itself(method: &str, path: &str, requires_loopback: bool) {
     let parts: Vec<&str> = path.split('/').collect();
     let method = method.parse().expect("a method");
-    assert_eq!(admin::port::is_for_target(&method, &parts), is_for_target);
+    assert_eq!(
+        admin::port::requires_loopback(&method, &parts),
+        requires_loopback
+    );
 }
 
 #[test]
--- a/wisteriaturnd/src/admin/change.rs
+++ b/wisteriaturnd/src/admin/change.rs
@@ -178,7 +178,7 @@
 }
 
 /// Returns what became of a change that this node has folded.
-pub fn report(node: &NodeState, id: ChangeId) -> Option<ChangeReport> {
+pub fn find_report(node: &NodeState, id: ChangeId) -> Option<ChangeReport> {
     let store = lock(&node.store);
     let (version, verdict) = store.state().verdict(id)?;
     let reason = match verdict {
@@ -207,7 +207,7 @@
     if node.documents.is_some() {
         return Err(ApplyError::ReadOnly);
     }
-    if let Some(report) = report(node, change.id) {
+    if let Some(report) = find_report(node, change.id) {
         return Ok(report);
     }
     let record = change.encode().map_err(ApplyError::Encoding)?;
@@ -232,7 +232,7 @@
         // and pushes what it finds.
         let read = follow::read_to_end(node);
         let _ = tokio::time::timeout_at(until.into(), read).await;
-        if let Some(report) = report(node, id) {
+        if let Some(report) = find_report(node, id) {
             return Ok(report);
         }
         if node.clock.now() + LOOK_PAUSE >= until {
--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -22,7 +22,7 @@
 use wisteriaturn::config::resource::{Resource, ResourceKey, ResourceKind};
 use wisteriaturn::ids::{ChangeId, ConfigVersion, ServiceName};
 
-use crate::admin::change::{RawChange, RawExpectation, RawOperation, apply, report};
+use crate::admin::change::{RawChange, RawExpectation, RawOperation, apply, find_report};
 use crate::admin::reply::{error_reply, json_reply, text_reply};
 use crate::admin::view;
 use crate::gate::targets::{self, AnnounceError, TargetAnnouncement};
@@ -75,7 +75,7 @@
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
     let method = request.method().clone();
-    let is_local = is_for_target(&method, &parts);
+    let is_local = requires_loopback(&method, &parts);
     if is_local && !from.ip().is_loopback() {
         let error = "only the target on this VM may say this, over loopback";
         return error_reply(StatusCode::FORBIDDEN, error);
@@ -90,7 +90,7 @@
 }
 
 /// Tells whether a request is one that only the target on this VM may make.
-pub fn is_for_target(method: &Method, parts: &[&str]) -> bool {
+pub fn requires_loopback(method: &Method, parts: &[&str]) -> bool {
     parts.starts_with(&["v1", "targets"]) && method != Method::GET
 }
 
@@ -157,7 +157,7 @@
 }
 
 fn change_report(node: &NodeHandle, id: ChangeId) -> Response<NodeBody> {
-    match report(node, id) {
+    match find_report(node, id) {
         Some(report) => json_reply(StatusCode::OK, &report),
         None => {
             let error = format!("change {id} is not among those that this node remembers");
--- a/wisteriaturnd/src/admin/reply.rs
+++ b/wisteriaturnd/src/admin/reply.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns a JSON reply with a revision as its entity tag.
-pub fn tagged_reply<T>(revision: Revision, value: &T) -> Response<NodeBody>
+pub fn json_reply_with_etag<T>(revision: Revision, value: &T) -> Response<NodeBody>
 where
     T: Serialize,
 {
--- a/wisteriaturnd/src/admin/view.rs
+++ b/wisteriaturnd/src/admin/view.rs
@@ -18,8 +18,8 @@
 use wisteriaturn::peer::message::{HeldReport, PeerAnswer, PeerRequest};
 use wisteriaturn::route::choose::choose_target;
 
-use crate::admin::change::report;
-use crate::admin::reply::{error_reply, json_reply, tagged_reply};
+use crate::admin::change::find_report;
+use crate::admin::reply::{error_reply, json_reply, json_reply_with_etag};
 use crate::http::body::{BodyError, NodeBody, boxed};
 use crate::mesh::peer_client;
 use crate::mesh::peer_server::holders;
@@ -91,7 +91,7 @@
     match view.config.resources.get(key) {
         Some(held) => {
             let reply = json!({ "revision": held.revision, "resource": held.resource });
-            tagged_reply(held.revision, &reply)
+            json_reply_with_etag(held.revision, &reply)
         }
         None => error_reply(StatusCode::NOT_FOUND, format!("{key} does not exist")),
     }
@@ -281,7 +281,7 @@
     for (id, version, _) in recent {
         if version > seen
             && version <= upto
-            && let Some(report) = report(node, id)
+            && let Some(report) = find_report(node, id)
         {
             text.push_str(&serde_json::to_string(&report).unwrap_or_default());
             text.push('\n');
--- a/wisteriaturnd/src/claims/desk.rs
+++ b/wisteriaturnd/src/claims/desk.rs
@@ -148,7 +148,7 @@
     link: &mut Option<(NodeAddress, PeerLink)>,
     demand: ClaimDemand,
 ) -> Option<Vec<ClaimVerdict>> {
-    let home = node.settings.log_home.as_ref();
+    let home = node.settings.log_data_centre.as_ref();
     let keeper = keeper(&lock(&node.table), demand.stream, home)?;
     if keeper == node.address() {
         return Some(node.keeper.demand(node, demand).await);
--- a/wisteriaturnd/src/settings/mod.rs
+++ b/wisteriaturnd/src/settings/mod.rs
@@ -22,7 +22,7 @@
 pub mod raw;
 
 /// Shortest secret from which a mesh key is derived, in bytes.
-pub const LEAST_SECRET: usize = 16;
+pub const MIN_SECRET_BYTES: usize = 16;
 
 /// Checked settings.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
     /// Address of the log service.
     pub log_address: SocketAddr,
     /// Data centre of the log service.
-    pub log_home: Option<DataCentre>,
+    pub log_data_centre: Option<DataCentre>,
     /// Service that runs on this VM.
     pub caller_service: Option<ServiceName>,
     /// Retries that all nodes together may add for one service.
@@ -144,7 +144,7 @@
             keys: mesh_keys(&raw.mesh_secrets)?,
             admin_token: raw.admin_token,
             log_address: address("log.address", &raw.log.address)?,
-            log_home: match &raw.log.data_centre {
+            log_data_centre: match &raw.log.data_centre {
                 Some(name) => Some(parsed("log.data_centre", name, "a name")?),
                 None => None,
             },
@@ -356,7 +356,7 @@
     if !(0.0..=1e6).contains(&raw.slack) {
         return Err(not_allowed("retry.slack", raw.slack, "0 to 1000000"));
     }
-    let window = duration_text(&raw.window)
+    let window = parse_duration(&raw.window)
         .filter(|window| !window.is_zero())
         .ok_or_else(|| not_allowed("retry.window", &raw.window, "a time such as 10s or 1500ms"))?;
     Ok(RetryLimit {
@@ -370,7 +370,7 @@
 const LONGEST_TIME: Duration = Duration::from_secs(30 * 24 * 3600);
 
 /// Reads a time with its unit, such as `1500ms` or `2.5s`.
-pub fn duration_text(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
         None => (text.strip_suffix('s')?, 1.0),
@@ -383,7 +383,9 @@
 
 fn mesh_keys(secrets: &[String]) -> Result<MeshKeys, SettingsError> {
     let is_good = (1..=2).contains(&secrets.len())
-        && secrets.iter().all(|secret| secret.len() >= LEAST_SECRET);
+        && secrets
+            .iter()
+            .all(|secret| secret.len() >= MIN_SECRET_BYTES);
     if !is_good {
         // The secrets themselves stay out of the message.
         let value = format!("{} secret(s)", secrets.len());
