--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -5,14 +5,14 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use serde_json::json;
-use wisteriaturn::config::change::{Change, Expectation, Operation};
+use wisteriaturn::config::change::{Change, Operation, Precondition};
 use wisteriaturn::config::fold::ConfigState;
 use wisteriaturn::config::resource::{PolicySpec, Resource};
 use wisteriaturn::config::snapshot::{decode_snapshot, encode_snapshot};
 use wisteriaturn::config::view::{ConfigView, ServingView};
 use wisteriaturn::gate::claim::{ClaimBatch, ClaimFold, ClaimHolder, ClaimItem, KEY_LIMIT};
 use wisteriaturn::ids::{
-    CallId, ChangeId, Incarnation, KeyHash, LifeId, LinkRate, NodeAddress, Sequence, ServiceName,
+    BootId, CallId, ChangeId, Incarnation, KeyHash, LinkRate, NodeAddress, Sequence, ServiceName,
     SlotCount,
 };
 use wisteriaturn::member::record::{MemberRecord, MemberState, TargetRecord, TargetState};
@@ -43,8 +43,8 @@
         id: ChangeId(id),
         author: "bench".parse().expect("a name"),
         operations: vec![
-            Operation::put(resource(service), Expectation::Any),
-            Operation::put(resource(route), Expectation::Any),
+            Operation::put(resource(service), Precondition::Any),
+            Operation::put(resource(route), Precondition::Any),
         ],
     };
     change.encode().expect("a record").to_vec()
@@ -92,7 +92,7 @@
             holder: ClaimHolder {
                 run: CallId(key),
                 hop: NodeAddress::from(([127, 0, 0, 1], 7082)),
-                life: LifeId(1),
+                life: BootId(1),
             },
         };
         let batch = ClaimBatch {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -14,11 +14,14 @@
     fn now(&self) -> Instant;
 
     /// Returns the wall time, which may jump either way.
-    fn wall(&self) -> SystemTime;
+    fn wall_time(&self) -> SystemTime;
 
     /// Returns the wall time in milliseconds since the Unix epoch.
-    fn wall_millis(&self) -> u64 {
-        let elapsed = self.wall().duration_since(UNIX_EPOCH).unwrap_or_default();
+    fn unix_millis(&self) -> u64 {
+        let elapsed = self
+            .wall_time()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
     }
 }
@@ -35,7 +38,7 @@
         Instant::now()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
@@ -67,7 +70,7 @@
         self.start + *lock(&self.elapsed)
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         // An arbitrary fixed date: a test must not depend on the day it runs.
         UNIX_EPOCH + Duration::from_secs(1_700_000_000) + *lock(&self.elapsed)
     }
--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -15,15 +15,15 @@
 pub const CHANGE_FORMAT: u8 = 1;
 
 /// Largest record in bytes.
-pub const CHANGE_LIMIT: usize = 256 * 1024;
+pub const MAX_CHANGE_BYTES: usize = 256 * 1024;
 
 /// Most writes in one change.
-pub const OPERATION_LIMIT: usize = 1024;
+pub const MAX_OPERATIONS: usize = 1024;
 
 record! {
     /// What a writer expects a resource to be before its write.
     #[serde(rename_all = "lowercase")]
-    pub enum Expectation {
+    pub enum Precondition {
         /// Anything.
         Any,
         /// The resource does not exist.
@@ -37,7 +37,7 @@
         /// Resource that is written.
         pub key: ResourceKey,
         /// What the writer expects.
-        pub expect: Expectation,
+        pub expect: Precondition,
         /// The new value, or nothing to delete it.
         pub value: Option<Resource>,
     }
@@ -54,7 +54,7 @@
 
     struct RawOperation {
         key: ResourceKey,
-        expect: Expectation,
+        expect: Precondition,
         value: Option<Bytes>,
     }
 
@@ -67,7 +67,7 @@
 
 impl Operation {
     /// Returns a write of `value`.
-    pub fn put(value: Resource, expect: Expectation) -> Self {
+    pub fn put(value: Resource, expect: Precondition) -> Self {
         Self {
             key: value.key(),
             expect,
@@ -76,7 +76,7 @@
     }
 
     /// Returns a delete of `key`.
-    pub fn delete(key: ResourceKey, expect: Expectation) -> Self {
+    pub fn delete(key: ResourceKey, expect: Precondition) -> Self {
         Self {
             key,
             expect,
@@ -112,11 +112,11 @@
         check_size(record.len())?;
         let (format, body) = record.split_first().ok_or(CodecError::Malformed)?;
         if *format != CHANGE_FORMAT {
-            return Err(CodecError::Format(*format));
+            return Err(CodecError::UnknownFormat(*format));
         }
         let (raw, rest): (RawChange, _) =
             postcard::take_from_bytes(body).map_err(|_| CodecError::Malformed)?;
-        if !rest.is_empty() || raw.operations.len() > OPERATION_LIMIT {
+        if !rest.is_empty() || raw.operations.len() > MAX_OPERATIONS {
             return Err(CodecError::Malformed);
         }
         let mut operations = Vec::with_capacity(raw.operations.len());
@@ -179,10 +179,10 @@
 }
 
 fn check_size(length: usize) -> Result<(), CodecError> {
-    if length > CHANGE_LIMIT {
+    if length > MAX_CHANGE_BYTES {
         return Err(CodecError::TooLarge {
             length,
-            limit: CHANGE_LIMIT,
+            limit: MAX_CHANGE_BYTES,
         });
     }
     Ok(())
--- a/src/config/delta.rs
+++ b/src/config/delta.rs
@@ -13,7 +13,7 @@
 
 use crate::config::change::{decode_resource, encode_resource};
 use crate::config::document::document_hash;
-use crate::config::fold::{ChainHash, ConfigState, HeldResource};
+use crate::config::fold::{ChainHash, ConfigState, VersionedResource};
 use crate::config::resource::ResourceKey;
 use crate::config::validate::{Rejection, validate};
 use crate::error::CodecError;
@@ -21,7 +21,7 @@
 
 /// Documents that are kept to tell what changed since: those of a storm of
 /// versions which a node may have missed in part.
-pub const HISTORY_LIMIT: usize = 6;
+pub const MAX_HISTORY_DOCUMENTS: usize = 6;
 
 record! {
     /// The difference between two documents.
@@ -89,7 +89,7 @@
     for put in &delta.puts {
         let resource =
             decode_resource(put).map_err(|error| Rejection::Undecodable(error.to_string()))?;
-        let held = Arc::new(HeldResource { revision, resource });
+        let held = Arc::new(VersionedResource { revision, resource });
         resources.insert(held.resource.key(), held);
     }
     validate(&resources)?;
@@ -114,7 +114,7 @@
 impl DocumentHistory {
     /// Adds the document that was in force until now.
     pub fn push(&mut self, state: ConfigState) {
-        if self.states.len() == HISTORY_LIMIT {
+        if self.states.len() == MAX_HISTORY_DOCUMENTS {
             self.states.pop_front();
         }
         self.states.push_back(state);
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use crate::config::change::encode_resource;
-use crate::config::fold::{ChainHash, ConfigState, HeldResource};
+use crate::config::fold::{ChainHash, ConfigState, VersionedResource};
 use crate::config::resource::Resource;
 use crate::config::validate::{Rejection, ResourceMap, validate};
 use crate::error::LogError;
@@ -36,7 +36,7 @@
     type Error = Rejection;
 
     fn try_from(document: ConfigDocument) -> Result<Self, Rejection> {
-        document.after(&Self::new())
+        document.into_state(&Self::new())
     }
 }
 
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// [`Rejection`] says what is wrong with the document.
-    pub fn after(self, before: &ConfigState) -> Result<ConfigState, Rejection> {
+    pub fn into_state(self, before: &ConfigState) -> Result<ConfigState, Rejection> {
         let document = self;
         let revision = Revision(document.version.0);
         let mut resources = ResourceMap::new();
@@ -57,7 +57,7 @@
             let shared = before.resources().get(&key);
             let held = match shared {
                 Some(shared) if shared.resource == resource => Arc::clone(shared),
-                _ => Arc::new(HeldResource { revision, resource }),
+                _ => Arc::new(VersionedResource { revision, resource }),
             };
             if resources.insert(key.clone(), held).is_some() {
                 return Err(Rejection::WrittenTwice(key));
--- a/src/config/fold.rs
+++ b/src/config/fold.rs
@@ -9,20 +9,20 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::change::{Change, Expectation, Operation};
+use crate::config::change::{Change, Operation, Precondition};
 use crate::config::resource::Resource;
 use crate::config::validate::{Rejection, ResourceMap, validate};
 use crate::ids::{ChangeId, ConfigVersion, Revision};
 
 /// Change ids that are remembered, so that a change appended twice is folded once.
-pub const REMEMBERED_CHANGES: usize = 4096;
+pub const MAX_REMEMBERED_CHANGES: usize = 4096;
 
 /// The hash over all records up to a version.
 pub type ChainHash = [u8; 32];
 
 /// A resource with the revision at which it was last written.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldResource {
+pub struct VersionedResource {
     /// Version of the last write.
     pub revision: Revision,
     /// The resource.
@@ -161,7 +161,7 @@
     }
 
     fn remember(&mut self, id: ChangeId, verdict: FoldVerdict) {
-        if self.recent.len() == REMEMBERED_CHANGES
+        if self.recent.len() == MAX_REMEMBERED_CHANGES
             && let Some(oldest) = self.recent.pop_front()
         {
             self.verdicts.remove(&oldest);
@@ -178,9 +178,9 @@
 ) -> Result<(), Rejection> {
     let held = resources.get(&operation.key).map(|held| held.revision);
     let is_expected = match operation.expect {
-        Expectation::Any => true,
-        Expectation::Absent => held.is_none(),
-        Expectation::At(revision) => held == Some(revision),
+        Precondition::Any => true,
+        Precondition::Absent => held.is_none(),
+        Precondition::At(revision) => held == Some(revision),
     };
     if !is_expected {
         return Err(Rejection::Conflict {
@@ -192,7 +192,10 @@
     match operation.value {
         Some(resource) => {
             let revision = Revision(version.0);
-            resources.insert(operation.key, Arc::new(HeldResource { revision, resource }));
+            resources.insert(
+                operation.key,
+                Arc::new(VersionedResource { revision, resource }),
+            );
         }
         None => {
             if resources.remove(&operation.key).is_none() {
--- a/src/config/resource.rs
+++ b/src/config/resource.rs
@@ -19,7 +19,7 @@
 pub const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// Name of the limits that are in force.
-pub const LIMITS_NAME: &str = "callers";
+pub const ACTIVE_LIMITS_NAME: &str = "callers";
 
 /// Most slots that a service may allow a target.
 pub const MAX_SLOTS: u16 = 4096;
@@ -85,7 +85,7 @@
     /// What callers may send, and how long they may take or stay idle.
     #[serde(deny_unknown_fields)]
     pub struct LimitsSpec {
-        /// Name of the limits; those named [`LIMITS_NAME`] are in force.
+        /// Name of the limits; those named [`ACTIVE_LIMITS_NAME`] are in force.
         pub name: ServiceName,
         /// Bytes of a request's head at most.
         pub max_head_bytes: u64,
@@ -296,7 +296,7 @@
     /// Returns the most slots that a target may have. Each call that runs has a
     /// connection of its own and takes an idle one first, so a target never has
     /// more connections than slots, and the bound of connections holds as well.
-    pub fn slot_bound(&self) -> SlotCount {
+    pub fn effective_max_slots(&self) -> SlotCount {
         self.max_slots.min(SlotCount(self.max_connections))
     }
 }
--- a/src/config/snapshot.rs
+++ b/src/config/snapshot.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::change::{decode_resource, encode_resource};
-use crate::config::fold::{ChainHash, ConfigState, FoldVerdict, HeldResource};
+use crate::config::fold::{ChainHash, ConfigState, FoldVerdict, VersionedResource};
 use crate::config::validate::{ResourceMap, validate};
 use crate::error::CodecError;
 use crate::ids::{ChangeId, ConfigVersion, Revision};
@@ -22,10 +22,10 @@
 pub const SNAPSHOT_FORMAT: u8 = 1;
 
 /// Largest payload of one snapshot record in bytes.
-pub const CHUNK_LIMIT: usize = 128 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 128 * 1024;
 
 /// Largest snapshot in bytes.
-pub const SNAPSHOT_LIMIT: usize = 16 * 1024 * 1024;
+pub const MAX_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 
 #[derive(Debug, Serialize, Deserialize)]
 struct RawSnapshot {
@@ -70,15 +70,15 @@
 
 /// Decodes a state and checks it as a whole.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<ConfigState, CodecError> {
-    if bytes.len() > SNAPSHOT_LIMIT {
+    if bytes.len() > MAX_SNAPSHOT_BYTES {
         return Err(CodecError::TooLarge {
             length: bytes.len(),
-            limit: SNAPSHOT_LIMIT,
+            limit: MAX_SNAPSHOT_BYTES,
         });
     }
     let (format, body) = bytes.split_first().ok_or(CodecError::Malformed)?;
     if *format != SNAPSHOT_FORMAT {
-        return Err(CodecError::Format(*format));
+        return Err(CodecError::UnknownFormat(*format));
     }
     let (raw, rest): (RawSnapshot, _) =
         postcard::take_from_bytes(body).map_err(|_| CodecError::Malformed)?;
@@ -90,7 +90,7 @@
         let resource = decode_resource(&bytes)?;
         resources.insert(
             resource.key(),
-            Arc::new(HeldResource { revision, resource }),
+            Arc::new(VersionedResource { revision, resource }),
         );
     }
     validate(&resources).map_err(|_| CodecError::Malformed)?;
@@ -105,11 +105,11 @@
 /// Cuts an encoded snapshot into records.
 pub fn split_snapshot(version: ConfigVersion, snapshot: &Bytes) -> Vec<SnapshotChunk> {
     let hash = *blake3::hash(snapshot).as_bytes();
-    let count = snapshot.len().div_ceil(CHUNK_LIMIT);
+    let count = snapshot.len().div_ceil(MAX_CHUNK_BYTES);
     let mut chunks = Vec::with_capacity(count);
     for index in 0..count {
-        let start = index * CHUNK_LIMIT;
-        let end = snapshot.len().min(start + CHUNK_LIMIT);
+        let start = index * MAX_CHUNK_BYTES;
+        let end = snapshot.len().min(start + MAX_CHUNK_BYTES);
         chunks.push(SnapshotChunk {
             version,
             hash,
@@ -132,23 +132,23 @@
 
 /// Puts snapshots together from the records of the snapshot stream.
 #[derive(Debug, Default)]
-pub struct SnapshotReader {
+pub struct SnapshotAssembler {
     partial: BTreeMap<(ConfigVersion, [u8; 32]), BTreeMap<u32, Bytes>>,
     newest: Option<ConfigState>,
 }
 
-impl SnapshotReader {
+impl SnapshotAssembler {
     /// Returns a reader that has seen nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes one record; records that do not fit are ignored.
-    pub fn take(&mut self, record: &[u8]) {
+    pub fn add_record(&mut self, record: &[u8]) {
         let Ok((chunk, _)) = postcard::take_from_bytes::<SnapshotChunk>(record) else {
             return;
         };
-        let limit = SNAPSHOT_LIMIT.div_ceil(CHUNK_LIMIT) as u32;
+        let limit = MAX_SNAPSHOT_BYTES.div_ceil(MAX_CHUNK_BYTES) as u32;
         if chunk.count == 0 || chunk.count > limit || chunk.index >= chunk.count {
             return;
         }
--- a/src/config/tail.rs
+++ b/src/config/tail.rs
@@ -12,7 +12,7 @@
 use crate::ids::ConfigVersion;
 
 /// Most bytes of records kept.
-pub const TAIL_LIMIT: usize = 4 * 1024 * 1024;
+pub const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
 
 /// The newest records of the configuration stream.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     pub fn push(&mut self, record: Bytes) {
         self.bytes += record.len();
         self.records.push_back(record);
-        while self.bytes > TAIL_LIMIT {
+        while self.bytes > MAX_TAIL_BYTES {
             let Some(oldest) = self.records.pop_front() else {
                 break;
             };
@@ -46,7 +46,7 @@
 
     /// Returns the records after `version` up to `limit` bytes, or nothing
     /// when the tail does not reach back that far.
-    pub fn after(&self, version: ConfigVersion, limit: usize) -> Option<Vec<Bytes>> {
+    pub fn records_after(&self, version: ConfigVersion, limit: usize) -> Option<Vec<Bytes>> {
         if version < self.first {
             return None;
         }
--- a/src/config/validate.rs
+++ b/src/config/validate.rs
@@ -10,16 +10,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::change::Expectation;
-use crate::config::fold::HeldResource;
+use crate::config::change::Precondition;
+use crate::config::fold::VersionedResource;
 use crate::config::resource::{
-    LIMITS_NAME, LimitsSpec, MAX_DEADLINE_MS, MAX_SLOTS, PolicySpec, Resource, ResourceKey,
+    ACTIVE_LIMITS_NAME, LimitsSpec, MAX_DEADLINE_MS, MAX_SLOTS, PolicySpec, Resource, ResourceKey,
     ResourceKind, RouteSpec, ServiceSpec,
 };
 use crate::ids::{Revision, ServiceName};
 
 /// The resources of one version by key.
-pub type ResourceMap = BTreeMap<ResourceKey, Arc<HeldResource>>;
+pub type ResourceMap = BTreeMap<ResourceKey, Arc<VersionedResource>>;
 
 /// Says why a change was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
         /// The resource.
         key: ResourceKey,
         /// What the writer expects.
-        expected: Expectation,
+        expected: Precondition,
         /// Revision held, or nothing when the resource does not exist.
         held: Option<Revision>,
     },
@@ -97,13 +97,13 @@
 fn write_conflict(
     f: &mut fmt::Formatter<'_>,
     key: &ResourceKey,
-    expected: &Expectation,
+    expected: &Precondition,
     held: Option<Revision>,
 ) -> fmt::Result {
     match expected {
-        Expectation::Any => write!(f, "{key}: expected anything")?,
-        Expectation::Absent => write!(f, "{key}: expected absent")?,
-        Expectation::At(revision) => write!(f, "{key}: expected revision {revision}")?,
+        Precondition::Any => write!(f, "{key}: expected anything")?,
+        Precondition::Absent => write!(f, "{key}: expected absent")?,
+        Precondition::At(revision) => write!(f, "{key}: expected revision {revision}")?,
     }
     match held {
         Some(revision) => write!(f, ", held is revision {revision}"),
@@ -138,7 +138,7 @@
 
 /// Returns a path prefix without its trailing slash, so that `/a` and `/a/`
 /// are one match.
-pub fn normal_path(path: &str) -> &str {
+pub fn normalize_path(path: &str) -> &str {
     path.strip_suffix('/').unwrap_or(path)
 }
 
@@ -147,7 +147,7 @@
     if spec.only_below {
         spec.path.as_str()
     } else {
-        normal_path(spec.path.as_str())
+        normalize_path(spec.path.as_str())
     }
 }
 
@@ -208,7 +208,12 @@
 }
 
 fn check_limits(key: &ResourceKey, spec: &LimitsSpec) -> Result<(), Rejection> {
-    require(key, "name", LIMITS_NAME, spec.name.as_str() == LIMITS_NAME)?;
+    require(
+        key,
+        "name",
+        ACTIVE_LIMITS_NAME,
+        spec.name.as_str() == ACTIVE_LIMITS_NAME,
+    )?;
     require(
         key,
         "max_head_bytes",
--- a/src/config/view.rs
+++ b/src/config/view.rs
@@ -14,15 +14,15 @@
 
 use crate::config::fold::{ChainHash, ConfigState};
 use crate::config::resource::{
-    LIMITS_NAME, LimitsSpec, PolicySpec, Resource, ResourceKey, ResourceKind, RouteSpec,
+    ACTIVE_LIMITS_NAME, LimitsSpec, PolicySpec, Resource, ResourceKey, ResourceKind, RouteSpec,
     ServiceSpec,
 };
-use crate::config::validate::{ResourceMap, normal_path};
+use crate::config::validate::{ResourceMap, normalize_path};
 use crate::error::ViewError;
 use crate::ids::{
     ConfigVersion, DataCentre, Incarnation, LinkRate, NodeAddress, RegionName, ServiceName,
 };
-use crate::invariant::{Rule, check};
+use crate::invariant::{Invariant, check};
 use crate::member::record::{MemberRecord, MemberState, TargetRecord, TargetState};
 
 /// A service with the policy that applies to it.
@@ -70,7 +70,7 @@
                 policies.insert(policy.service.clone(), policy.clone());
             }
         }
-        let key = ResourceKey::new(ResourceKind::Limits, LIMITS_NAME);
+        let key = ResourceKey::new(ResourceKind::Limits, ACTIVE_LIMITS_NAME);
         let limits = match state.resources().get(&key).map(|held| &held.resource) {
             Some(Resource::Limits(limits)) => Some(limits.clone()),
             _ => None,
@@ -107,8 +107,8 @@
 }
 
 fn dangling(what: String) -> ViewError {
-    check(Rule::ViewComplete, false);
-    ViewError::Dangling(what)
+    check(Invariant::ViewComplete, false);
+    ViewError::DanglingReference(what)
 }
 
 impl ConfigView {
@@ -139,7 +139,7 @@
     /// Puts the longest prefix first, so that the first match is the best one.
     fn sort_routes(&mut self) {
         let longest_first = |route: &Arc<RouteEntry>| {
-            std::cmp::Reverse(normal_path(route.spec.path.as_str()).len())
+            std::cmp::Reverse(normalize_path(route.spec.path.as_str()).len())
         };
         self.any_host.sort_by_key(longest_first);
         for routes in self.by_host.values_mut() {
@@ -167,7 +167,7 @@
 
     /// Returns the same routes and services at a later version, for a record
     /// that was rejected.
-    pub fn at(&self, version: ConfigVersion, chain: ChainHash) -> Self {
+    pub fn with_version(&self, version: ConfigVersion, chain: ChainHash) -> Self {
         Self {
             version,
             chain,
@@ -185,7 +185,7 @@
     if spec.only_below {
         return path.starts_with(spec.path.as_str());
     }
-    match path.strip_prefix(normal_path(spec.path.as_str())) {
+    match path.strip_prefix(normalize_path(spec.path.as_str())) {
         Some(rest) => rest.is_empty() || rest.starts_with('/'),
         None => false,
     }
@@ -231,7 +231,7 @@
         incarnation: member.incarnation,
         region: member.region.clone(),
         data_centre: member.data_centre.clone(),
-        slots: target.slots.min(spec.slot_bound()).0,
+        slots: target.slots.min(spec.effective_max_slots()).0,
         link: member.link,
         since,
         is_suspect: member.state == MemberState::Suspect,
@@ -284,14 +284,14 @@
     }
 
     /// Returns the targets of a service that a later view may no longer have.
-    pub fn targets_if_held(&self, service: &ServiceName) -> Option<Arc<Vec<TargetEntry>>> {
+    pub fn find_targets(&self, service: &ServiceName) -> Option<Arc<Vec<TargetEntry>>> {
         self.targets.get(service).cloned()
     }
 
     /// Returns the targets of a service of this view.
     pub fn targets(&self, service: &ServiceName) -> Arc<Vec<TargetEntry>> {
         let found = self.targets.get(service);
-        check(Rule::ViewComplete, found.is_some());
+        check(Invariant::ViewComplete, found.is_some());
         found.cloned().unwrap_or_default()
     }
 }
@@ -335,9 +335,9 @@
         }
         let is_same_fold =
             held.config.version != view.config.version || held.config.chain == view.config.chain;
-        check(Rule::SameFold, is_same_fold);
+        check(Invariant::SameFold, is_same_fold);
         let current = self.current.load().config.version;
-        check(Rule::VersionRises, current >= view.config.version);
+        check(Invariant::VersionRises, current >= view.config.version);
         Ok(())
     }
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -21,7 +21,7 @@
         limit: usize,
     },
     /// The name holds a byte that its kind does not allow.
-    BadByte {
+    InvalidByte {
         /// The byte.
         byte: u8,
         /// Which bytes are allowed.
@@ -36,7 +36,7 @@
             NameError::TooLong { length, limit } => {
                 write!(f, "has {length} bytes, at most {limit} are allowed")
             }
-            NameError::BadByte { byte, allowed } => {
+            NameError::InvalidByte { byte, allowed } => {
                 write!(
                     f,
                     "has the byte {:?}, allowed are {allowed}",
@@ -61,7 +61,7 @@
         limit: usize,
     },
     /// The bytes are in a format that this version does not read.
-    Format(u8),
+    UnknownFormat(u8),
     /// The bytes are truncated, have a tail or hold an impossible value.
     Malformed,
     /// The authentication tag is missing or was made with another key.
@@ -74,7 +74,7 @@
             CodecError::TooLarge { length, limit } => {
                 write!(f, "message of {length} bytes, at most {limit} are allowed")
             }
-            CodecError::Format(format) => write!(f, "unknown format number {format}"),
+            CodecError::UnknownFormat(format) => write!(f, "unknown format number {format}"),
             CodecError::Malformed => f.write_str("malformed message"),
             CodecError::Unauthenticated => f.write_str("message without a valid tag"),
         }
@@ -95,7 +95,7 @@
         offered: ConfigVersion,
     },
     /// The view names something that it does not hold.
-    Dangling(String),
+    DanglingReference(String),
 }
 
 impl fmt::Display for ViewError {
@@ -107,7 +107,7 @@
                     "version {offered} is older than {held}, which is in force"
                 )
             }
-            ViewError::Dangling(what) => write!(f, "the view does not hold {what}"),
+            ViewError::DanglingReference(what) => write!(f, "the view does not hold {what}"),
         }
     }
 }
@@ -121,7 +121,7 @@
     /// The log refused before it took the record, so nothing was written.
     Refused(String),
     /// No answer came; an append may or may not have taken effect.
-    Lost(String),
+    Indeterminate(String),
     /// The records asked for are no longer kept.
     Trimmed {
         /// First offset still kept.
@@ -133,7 +133,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogError::Refused(why) => write!(f, "the log refused: {why}"),
-            LogError::Lost(why) => write!(f, "the log's answer was lost: {why}"),
+            LogError::Indeterminate(why) => write!(f, "the log's answer was lost: {why}"),
             LogError::Trimmed { first } => write!(f, "the log keeps records from {first} on"),
         }
     }
--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 
 use crate::error::CodecError;
-use crate::ids::{CallId, KeyHash, LifeId, Offset};
+use crate::ids::{BootId, CallId, KeyHash, Offset};
 
 /// First byte of a claim record.
 pub const CLAIM_FORMAT: u8 = 1;
@@ -39,7 +39,7 @@
         /// Where the gate takes calls from other nodes.
         pub hop: SocketAddr,
         /// Life of the gate.
-        pub life: LifeId,
+        pub life: BootId,
     }
 
     /// One claim or release.
@@ -109,7 +109,7 @@
                 Ok((batch, [])) => Ok(batch),
                 Ok(_) | Err(_) => Err(CodecError::Malformed),
             },
-            Some((format, _)) => Err(CodecError::Format(*format)),
+            Some((format, _)) => Err(CodecError::UnknownFormat(*format)),
             None => Err(CodecError::Malformed),
         }
     }
--- a/src/gate/ledger.rs
+++ b/src/gate/ledger.rs
@@ -15,7 +15,7 @@
 use crate::clock::{SharedClock, lock};
 use crate::gate::outcome::RefusalReason;
 use crate::ids::CallId;
-use crate::invariant::{Rule, check};
+use crate::invariant::{Invariant, check};
 
 /// How long an answer is kept for a node that lost its exchange.
 pub const ANSWER_TIME: Duration = Duration::from_secs(30);
@@ -213,7 +213,7 @@
     /// [`RefusalReason::Revoked`] when the call was revoked while it waited.
     pub fn start(&mut self) -> Result<(), RefusalReason> {
         let mut state = lock(&self.ledger.state);
-        check(Rule::SentOnce, !self.is_started);
+        check(Invariant::SentOnce, !self.is_started);
         let Some(CallState::Waiting(receiver)) = state.calls.get(&self.call) else {
             return Err(RefusalReason::Revoked);
         };
@@ -237,7 +237,7 @@
     fn end_with(&mut self, end: CallEnd) {
         self.is_ended = true;
         let is_refusal = matches!(end, CallEnd::Refused(_));
-        check(Rule::NotRunStays, !(is_refusal && self.is_started));
+        check(Invariant::NotRunStays, !(is_refusal && self.is_started));
         let now = self.ledger.clock.now();
         let mut state = lock(&self.ledger.state);
         if matches!(state.calls.get(&self.call), Some(CallState::Revoked)) {
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -24,7 +24,7 @@
 use crate::config::resource::CallClass;
 use crate::gate::outcome::RefusalReason;
 use crate::ids::CallPriority;
-use crate::invariant::{Rule, check};
+use crate::invariant::{Invariant, check};
 
 /// Waiting calls allowed for each slot.
 pub const QUEUE_PER_SLOT: usize = 4;
@@ -282,7 +282,7 @@
             if call.sender.is_closed() {
                 continue;
             }
-            check(Rule::DrainedGate, !state.is_draining);
+            check(Invariant::DrainedGate, !state.is_draining);
             state.busy += 1;
             drop(state);
             // When the receiver is gone the permit comes back here and its
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -9,10 +9,10 @@
 use crate::error::NameError;
 
 /// Longest name in bytes.
-pub const NAME_LIMIT: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Longest path or host in bytes.
-pub const PATH_LIMIT: usize = 512;
+pub const MAX_PATH_BYTES: usize = 512;
 
 /// The address of a node's peer port, which is the node's identity: a VM that
 /// is replaced at the same address is the same member with a higher
@@ -33,7 +33,7 @@
     Incarnation(u64);
     /// Tells one run of a node's process from another; chosen at random. A gate
     /// remembers calls only for its own life.
-    LifeId(u64);
+    BootId(u64);
     /// Counts the statements that a node made about itself in one life.
     Sequence(u64);
     /// The number of calls that a target runs at once.
@@ -49,7 +49,7 @@
 impl LinkRate {
     /// Returns the time that the link takes for an amount of bytes; none where
     /// its rate is not known.
-    pub fn time_for(self, bytes: f64) -> Duration {
+    pub fn transfer_time(self, bytes: f64) -> Duration {
         if self.0 == 0 {
             return Duration::ZERO;
         }
@@ -131,7 +131,7 @@
     F: Fn(u8) -> bool,
 {
     match raw.iter().find(|byte| !is_allowed(**byte)) {
-        Some(byte) => Err(NameError::BadByte {
+        Some(byte) => Err(NameError::InvalidByte {
             byte: *byte,
             allowed,
         }),
@@ -140,23 +140,23 @@
 }
 
 fn check_name(raw: &[u8]) -> Result<(), NameError> {
-    check_length(raw, NAME_LIMIT)?;
+    check_length(raw, MAX_NAME_BYTES)?;
     check_bytes(raw, "a-z, A-Z, 0-9, '-', '_' and '.'", |byte| {
         byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
     })
 }
 
 fn check_host(raw: &[u8]) -> Result<(), NameError> {
-    check_length(raw, PATH_LIMIT)?;
+    check_length(raw, MAX_PATH_BYTES)?;
     check_bytes(raw, "a-z, 0-9, '-' and '.'", |byte| {
         byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'.')
     })
 }
 
 fn check_path(raw: &[u8]) -> Result<(), NameError> {
-    check_length(raw, PATH_LIMIT)?;
+    check_length(raw, MAX_PATH_BYTES)?;
     if raw[0] != b'/' {
-        return Err(NameError::BadByte {
+        return Err(NameError::InvalidByte {
             byte: raw[0],
             allowed: "'/' at the start",
         });
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -10,7 +10,7 @@
 /// The promises that the program checks on itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum Rule {
+pub enum Invariant {
     /// A node's configuration version never falls.
     VersionRises,
     /// A view holds every service and target that it names.
@@ -26,28 +26,28 @@
 }
 
 /// Every rule, in the order of its counter.
-pub const RULES: [Rule; 6] = [
-    Rule::VersionRises,
-    Rule::ViewComplete,
-    Rule::SameFold,
-    Rule::NotRunStays,
-    Rule::SentOnce,
-    Rule::DrainedGate,
+pub const INVARIANTS: [Invariant; 6] = [
+    Invariant::VersionRises,
+    Invariant::ViewComplete,
+    Invariant::SameFold,
+    Invariant::NotRunStays,
+    Invariant::SentOnce,
+    Invariant::DrainedGate,
 ];
 
-static COUNTS: [AtomicU64; RULES.len()] = [const { AtomicU64::new(0) }; RULES.len()];
+static COUNTS: [AtomicU64; INVARIANTS.len()] = [const { AtomicU64::new(0) }; INVARIANTS.len()];
 static STRICT: AtomicBool = AtomicBool::new(false);
 
-impl Rule {
+impl Invariant {
     /// Returns the name under which violations are counted.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::VersionRises => "version_rises",
-            Rule::ViewComplete => "view_complete",
-            Rule::SameFold => "same_fold",
-            Rule::NotRunStays => "not_run_stays",
-            Rule::SentOnce => "sent_once",
-            Rule::DrainedGate => "drained_gate",
+            Invariant::VersionRises => "version_rises",
+            Invariant::ViewComplete => "view_complete",
+            Invariant::SameFold => "same_fold",
+            Invariant::NotRunStays => "not_run_stays",
+            Invariant::SentOnce => "sent_once",
+            Invariant::DrainedGate => "drained_gate",
         }
     }
 }
@@ -58,7 +58,7 @@
 }
 
 /// Counts a violation of `rule` unless `holds`, and returns `holds`.
-pub fn check(rule: Rule, holds: bool) -> bool {
+pub fn check(rule: Invariant, holds: bool) -> bool {
     if !holds {
         COUNTS[rule as usize].fetch_add(1, Ordering::Relaxed);
         if STRICT.load(Ordering::Relaxed) {
@@ -73,6 +73,6 @@
 }
 
 /// Returns how often `rule` was violated.
-pub fn violations(rule: Rule) -> u64 {
+pub fn violations(rule: Invariant) -> u64 {
     COUNTS[rule as usize].load(Ordering::Relaxed)
 }
--- a/src/log_port.rs
+++ b/src/log_port.rs
@@ -97,7 +97,7 @@
     }
 
     /// Returns about how many bytes went to and from the log.
-    pub fn bytes(&self) -> u64 {
+    pub fn traffic_bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -72,6 +72,6 @@
             let bytes = decompress(rest, length).map_err(|_| CodecError::Malformed)?;
             decode(&bytes)
         }
-        format => Err(CodecError::Format(format)),
+        format => Err(CodecError::UnknownFormat(format)),
     }
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -14,7 +14,7 @@
 use crate::gate::claim::{ClaimDemand, ClaimVerdict};
 use crate::gate::ledger::CallEnd;
 use crate::gate::outcome::RefusalReason;
-use crate::ids::{CallId, ConfigVersion, DataCentre, Incarnation, LifeId, NodeAddress, Offset};
+use crate::ids::{BootId, CallId, ConfigVersion, DataCentre, Incarnation, NodeAddress, Offset};
 use crate::member::record::{MemberRecord, TargetDeparture};
 use crate::member::rumor::Rumor;
 
@@ -138,7 +138,7 @@
             /// The call.
             call: CallId,
             /// Life of the gate that the call went to.
-            life: LifeId,
+            life: BootId,
         },
     }
 
--- a/src/route/place.rs
+++ b/src/route/place.rs
@@ -197,7 +197,8 @@
     fn at(&self, demand: &CallDemand, time: Duration) -> f64 {
         let bytes = demand.answer_bytes + HEAD_BYTES;
         let transfer = PRICE_PER_KB[self.distance()] * bytes / 1024.0;
-        let time = time + self.round_trip() + self.candidate.link.time_for(demand.answer_bytes);
+        let time =
+            time + self.round_trip() + self.candidate.link.transfer_time(demand.answer_bytes);
         let late = chance_over(time, demand.aim) * (1.0 - LATE_VALUE);
         let lost = chance_over(time, demand.deadline) * LATE_VALUE;
         let aim = demand.aim.as_secs_f64().max(0.001);
--- a/tests/integration/config_fold.rs
+++ b/tests/integration/config_fold.rs
@@ -2,11 +2,11 @@
 
 use proptest::prelude::*;
 use serde_json::json;
-use wisteriaturn::config::change::{Change, Expectation, Operation};
+use wisteriaturn::config::change::{Change, Operation, Precondition};
 use wisteriaturn::config::fold::{ConfigState, FoldVerdict};
 use wisteriaturn::config::resource::{Resource, ResourceKey, ResourceKind};
 use wisteriaturn::config::snapshot::{
-    SnapshotReader, decode_snapshot, encode_snapshot, split_snapshot,
+    SnapshotAssembler, decode_snapshot, encode_snapshot, split_snapshot,
 };
 use wisteriaturn::config::tail::RecordTail;
 use wisteriaturn::config::validate::validate;
@@ -37,11 +37,11 @@
 }
 
 fn put(resource: Resource) -> Operation {
-    Operation::put(resource, Expectation::Any)
+    Operation::put(resource, Precondition::Any)
 }
 
 fn delete(kind: ResourceKind, name: &str) -> Operation {
-    Operation::delete(ResourceKey::new(kind, name), Expectation::Any)
+    Operation::delete(ResourceKey::new(kind, name), Precondition::Any)
 }
 
 fn fold(state: &mut ConfigState, change: &Change) -> FoldVerdict {
@@ -68,9 +68,9 @@
     written_twice = { vec![put(service("a")), put(service("a"))], "written twice" },
     missing = { vec![delete(ResourceKind::Route, "x")], "does not exist" },
     empty = { vec![], "no writes" },
-    stale = { vec![Operation::put(service("portal"), Expectation::At(Revision(9)))],
+    stale = { vec![Operation::put(service("portal"), Precondition::At(Revision(9)))],
         "expected revision 9, held is revision 1" },
-    not_absent = { vec![Operation::put(service("portal"), Expectation::Absent)],
+    not_absent = { vec![Operation::put(service("portal"), Precondition::Absent)],
         "expected absent" },
     weights = { vec![put(resource(json!({ "kind": "route", "name": "x", "path": "/x",
         "services": [{ "service": "portal", "weight": 0 }] })))], "sum above 0" },
@@ -118,15 +118,15 @@
     for number in 0..4_u8 {
         tail.push(bytes::Bytes::from(vec![number]));
     }
-    assert_eq!(tail.after(ConfigVersion(4), 100), None);
-    let all = tail.after(ConfigVersion(5), 100).expect("records");
+    assert_eq!(tail.records_after(ConfigVersion(4), 100), None);
+    let all = tail.records_after(ConfigVersion(5), 100).expect("records");
     assert_eq!(all.len(), 4);
     assert_eq!(
-        tail.after(ConfigVersion(8), 100).expect("records"),
+        tail.records_after(ConfigVersion(8), 100).expect("records"),
         [vec![3]]
     );
     assert!(
-        tail.after(ConfigVersion(9), 100)
+        tail.records_after(ConfigVersion(9), 100)
             .expect("records")
             .is_empty()
     );
@@ -161,9 +161,9 @@
 fn operation() -> impl Strategy<Value = Operation> {
     let names = prop::sample::select(vec!["a", "b", "c"]);
     let expect = prop_oneof![
-        3 => Just(Expectation::Any),
-        1 => Just(Expectation::Absent),
-        1 => (0_u64..6).prop_map(|revision| Expectation::At(Revision(revision))),
+        3 => Just(Precondition::Any),
+        1 => Just(Precondition::Absent),
+        1 => (0_u64..6).prop_map(|revision| Precondition::At(Revision(revision))),
     ];
     let value = (names.clone(), names, 0..5_u8).prop_map(|(name, other, what)| match what {
         0 => Ok(service(name)),
@@ -225,7 +225,7 @@
         let cell = ViewCell::new();
         let mut highest = 0;
         for version in versions {
-            let config = ConfigView::default().at(ConfigVersion(version), [0; 32]);
+            let config = ConfigView::default().with_version(ConfigVersion(version), [0; 32]);
             let view = ServingView::build(config.into(), [], |_, _| unreachable!());
             match cell.advance(view) {
                 Ok(()) => prop_assert!(version >= highest),
@@ -260,15 +260,15 @@
         }
         let bytes = encode_snapshot(&state).expect("a snapshot");
         let chunks = split_snapshot(state.version(), &bytes);
-        let mut reader = SnapshotReader::new();
-        reader.take(&noise);
+        let mut reader = SnapshotAssembler::new();
+        reader.add_record(&noise);
         let mut is_whole = true;
         for (index, chunk) in chunks.iter().enumerate() {
             if dropped == Some(index) {
                 is_whole = false;
                 continue;
             }
-            reader.take(&chunk.encode().expect("a record"));
+            reader.add_record(&chunk.encode().expect("a record"));
         }
         prop_assert_eq!(reader.into_newest(), is_whole.then_some(state));
     }
--- a/tests/integration/document_rules.rs
+++ b/tests/integration/document_rules.rs
@@ -4,7 +4,9 @@
 use std::time::Instant;
 
 use proptest::prelude::*;
-use wisteriaturn::config::delta::{DocumentHistory, HISTORY_LIMIT, apply_delta, delta_between};
+use wisteriaturn::config::delta::{
+    DocumentHistory, MAX_HISTORY_DOCUMENTS, apply_delta, delta_between,
+};
 use wisteriaturn::config::document::ConfigDocument;
 use wisteriaturn::config::fold::ConfigState;
 use wisteriaturn::config::resource::{Resource, RouteSpec, ServiceSpec};
@@ -80,7 +82,7 @@
     for version in 1..=10 {
         history.push(state(version, &BTreeMap::new()));
     }
-    let oldest = 10 - HISTORY_LIMIT as u64;
+    let oldest = 10 - MAX_HISTORY_DOCUMENTS as u64;
     assert!(history.get(ConfigVersion(oldest)).is_none());
     assert!(history.get(ConfigVersion(oldest + 1)).is_some());
 }
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -12,8 +12,8 @@
 use wisteriaturn::gate::outcome::RefusalReason;
 use wisteriaturn::gate::quarantine::{QUARANTINE_TIME, RequestStanding, SuspectTable};
 use wisteriaturn::gate::slots::{SlotGate, SlotPermit};
-use wisteriaturn::ids::{CallId, Fingerprint, KeyHash, LifeId, NodeAddress};
-use wisteriaturn::invariant::{RULES, violations};
+use wisteriaturn::ids::{BootId, CallId, Fingerprint, KeyHash, NodeAddress};
+use wisteriaturn::invariant::{INVARIANTS, violations};
 
 fn address(host: u8) -> NodeAddress {
     SocketAddr::from(([127, 0, 0, host], 7083))
@@ -189,7 +189,7 @@
                 LedgerStep::Wait(ms) => clock.advance(Duration::from_millis(ms.into())),
             }
         }
-        for rule in RULES {
+        for rule in INVARIANTS {
             prop_assert_eq!(violations(rule), 0);
         }
     }
@@ -199,7 +199,7 @@
     ClaimHolder {
         run: CallId(run),
         hop: address(1),
-        life: LifeId(1),
+        life: BootId(1),
     }
 }
 
--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -97,7 +97,10 @@
         limit: FRAME_LIMIT,
     };
     assert_eq!(decode_frame::<PeerAnswer>(&frame), Err(refused));
-    assert_eq!(decode_frame::<PeerAnswer>(&[9]), Err(CodecError::Format(9)));
+    assert_eq!(
+        decode_frame::<PeerAnswer>(&[9]),
+        Err(CodecError::UnknownFormat(9))
+    );
 }
 
 #[parameterized(
@@ -167,7 +170,7 @@
     let (mut near, mut far) = tokio::io::duplex(256);
     let ours = MeshKeys::derive(["a secret of the mesh"]);
     let theirs = MeshKeys::derive([secret]);
-    let life = wisteriaturn::ids::LifeId(9);
+    let life = wisteriaturn::ids::BootId(9);
     let accepting = tokio::spawn(async move {
         handshake::accept(&mut far, &ours, PortUse::Hop, life)
             .await
--- a/tests/integration/inside_regions.rs
+++ b/tests/integration/inside_regions.rs
@@ -141,7 +141,7 @@
                 }
                 let batch = log.read(request).await;
                 if is_still_lost() {
-                    return Err(LogError::Lost("cut".to_owned()));
+                    return Err(LogError::Indeterminate("cut".to_owned()));
                 }
                 batch
             })
--- a/wisteriaturnd/src/admin/change.rs
+++ b/wisteriaturnd/src/admin/change.rs
@@ -10,7 +10,7 @@
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use wisteriaturn::clock::lock;
-use wisteriaturn::config::change::{Change, Expectation, OPERATION_LIMIT, Operation};
+use wisteriaturn::config::change::{Change, MAX_OPERATIONS, Operation, Precondition};
 use wisteriaturn::config::fold::FoldVerdict;
 use wisteriaturn::config::resource::{Resource, ResourceKey, ResourceKind};
 use wisteriaturn::config::validate::Rejection;
@@ -87,8 +87,8 @@
     type Error = String;
 
     fn try_from(raw: RawChange) -> Result<Self, String> {
-        if raw.operations.len() > OPERATION_LIMIT {
-            return Err(format!("more than {OPERATION_LIMIT} operations"));
+        if raw.operations.len() > MAX_OPERATIONS {
+            return Err(format!("more than {MAX_OPERATIONS} operations"));
         }
         let mut operations = Vec::with_capacity(raw.operations.len());
         for (index, operation) in raw.operations.into_iter().enumerate() {
@@ -115,8 +115,8 @@
 
     fn try_from(raw: RawOperation) -> Result<Self, String> {
         let expect = match raw.expect {
-            None => Expectation::Any,
-            Some(expect) => Expectation::try_from(expect)?,
+            None => Precondition::Any,
+            Some(expect) => Precondition::try_from(expect)?,
         };
         match (raw.put, raw.delete) {
             (Some(resource), None) => Ok(Operation::put(resource, expect)),
@@ -126,14 +126,14 @@
     }
 }
 
-impl TryFrom<RawExpectation> for Expectation {
+impl TryFrom<RawExpectation> for Precondition {
     type Error = String;
 
     fn try_from(raw: RawExpectation) -> Result<Self, String> {
         match raw {
-            RawExpectation::Revision(revision) => Ok(Expectation::At(Revision(revision))),
-            RawExpectation::Word(word) if word == "any" => Ok(Expectation::Any),
-            RawExpectation::Word(word) if word == "absent" => Ok(Expectation::Absent),
+            RawExpectation::Revision(revision) => Ok(Precondition::At(Revision(revision))),
+            RawExpectation::Word(word) if word == "any" => Ok(Precondition::Any),
+            RawExpectation::Word(word) if word == "absent" => Ok(Precondition::Absent),
             RawExpectation::Word(word) => Err(format!(
                 "expect = {word:?} is not allowed; allowed: a revision, \"any\", \"absent\""
             )),
@@ -214,7 +214,7 @@
     let until = node.clock.now() + APPLY_TIME;
     match node.log.append(CONFIG_STREAM, record).await {
         Ok(_) => {}
-        Err(LogError::Lost(error)) => {
+        Err(LogError::Indeterminate(error)) => {
             log::warn!(event = "append-lost", change:% = change.id, error = error; "config");
         }
         Err(error) => return Err(ApplyError::Refused(error)),
--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
-use wisteriaturn::config::change::{CHANGE_LIMIT, Change};
+use wisteriaturn::config::change::{Change, MAX_CHANGE_BYTES};
 use wisteriaturn::config::resource::{Resource, ResourceKey, ResourceKind};
 use wisteriaturn::ids::{ChangeId, ConfigVersion, ServiceName};
 
@@ -109,7 +109,10 @@
     match parts {
         ["health"] => text_reply(StatusCode::OK, "ok\n".to_owned()),
         ["ready"] => ready(node),
-        ["metrics"] => text_reply(StatusCode::OK, node.metrics.encode(node.log.bytes())),
+        ["metrics"] => text_reply(
+            StatusCode::OK,
+            node.metrics.encode(node.log.traffic_bytes()),
+        ),
         ["v1", "status"] => view::status(node),
         ["v1", "members"] => view::members(node),
         ["v1", "targets"] => view::targets(node),
@@ -178,7 +181,7 @@
     };
     let query = Query::new(request.uri().query().unwrap_or_default());
     let is_dry = query.get("dry_run").as_deref() == Some("true");
-    let body = match Limited::new(request.into_body(), CHANGE_LIMIT)
+    let body = match Limited::new(request.into_body(), MAX_CHANGE_BYTES)
         .collect()
         .await
     {
--- a/wisteriaturnd/src/claims/keeper.rs
+++ b/wisteriaturnd/src/claims/keeper.rs
@@ -150,7 +150,7 @@
         self.sweep();
         let batch = ClaimBatch {
             id: CallId(rand::random()),
-            wall_ms: self.node.clock.wall_millis(),
+            wall_ms: self.node.clock.unix_millis(),
             lifetime_ms: self.node.settings.tuning.key_lifetime.as_millis() as u64,
             items,
         };
@@ -162,7 +162,7 @@
             match self.node.log.append(&self.name, record.clone()).await {
                 Ok(offset) => return self.fold_up_to(offset, &record).await,
                 Err(error) if self.node.clock.now() >= until => return Err(error),
-                Err(LogError::Lost(_)) => {
+                Err(LogError::Indeterminate(_)) => {
                     if let Ok(Some(verdicts)) = self.find_own(batch.id).await {
                         return Ok(verdicts);
                     }
@@ -182,7 +182,7 @@
             .is_none_or(|when| now.duration_since(when) >= SWEEP_INTERVAL);
         if is_due {
             self.swept = Some(now);
-            let now_ms = self.node.clock.wall_millis();
+            let now_ms = self.node.clock.unix_millis();
             self.fold().forget_expired(now_ms, CLOCK_SLACK);
         }
     }
@@ -216,7 +216,7 @@
             let limit = usize::try_from(offset.0.saturating_sub(from.0)).unwrap_or(READ_LIMIT);
             if limit == 0 {
                 // The fold is past the offset: the answer was an old one.
-                return Err(LogError::Lost("offset already folded".to_owned()));
+                return Err(LogError::Indeterminate("offset already folded".to_owned()));
             }
             self.read_some(from, limit.min(READ_LIMIT), None).await?;
         }
@@ -283,7 +283,7 @@
         if self.fold().len() + items <= KEY_LIMIT {
             return Ok(());
         }
-        let now_ms = self.node.clock.wall_millis();
+        let now_ms = self.node.clock.unix_millis();
         self.fold().forget_expired(now_ms, CLOCK_SLACK);
         if self.fold().len() + items <= KEY_LIMIT {
             return Ok(());
--- a/wisteriaturnd/src/control/documents.rs
+++ b/wisteriaturnd/src/control/documents.rs
@@ -144,7 +144,7 @@
         return;
     }
     let mut store = lock(&node.store);
-    match document.after(store.state()) {
+    match document.into_state(store.state()) {
         Ok(state) => {
             let is_newer = store.adopt_document(state);
             drop(store);
--- a/wisteriaturnd/src/control/follow.rs
+++ b/wisteriaturnd/src/control/follow.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use wisteriaturn::clock::lock;
-use wisteriaturn::config::snapshot::{SnapshotReader, split_snapshot};
+use wisteriaturn::config::snapshot::{SnapshotAssembler, split_snapshot};
 use wisteriaturn::error::LogError;
 use wisteriaturn::ids::{ConfigVersion, Offset};
 use wisteriaturn::log_port::ReadRequest;
@@ -112,7 +112,7 @@
 
 /// Takes the newest snapshot of the log when it is newer than what is held.
 async fn load_snapshot(node: &NodeState) -> Result<(), LogError> {
-    let mut reader = SnapshotReader::new();
+    let mut reader = SnapshotAssembler::new();
     let mut from = Offset(0);
     loop {
         let request = ReadRequest {
@@ -124,7 +124,7 @@
         match node.log.read(request).await {
             Ok(batch) => {
                 for record in &batch.records {
-                    reader.take(&record.data);
+                    reader.add_record(&record.data);
                 }
                 from.0 += batch.records.len() as u64;
                 if from >= batch.next {
--- a/wisteriaturnd/src/control/store.rs
+++ b/wisteriaturnd/src/control/store.rs
@@ -11,7 +11,7 @@
 use wisteriaturn::config::view::ConfigView;
 use wisteriaturn::error::CodecError;
 use wisteriaturn::ids::ConfigVersion;
-use wisteriaturn::invariant::{Rule, check};
+use wisteriaturn::invariant::{Invariant, check};
 
 /// What folding a record did.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -66,7 +66,7 @@
         }
         let verdict = self.state.fold(record);
         self.tail.push(record.clone());
-        check(Rule::VersionRises, self.state.version() > held);
+        check(Invariant::VersionRises, self.state.version() > held);
         self.rebuild(verdict == FoldVerdict::Accepted);
         StoreStep::Folded(verdict)
     }
@@ -84,7 +84,7 @@
 
     /// Returns the records after a version, or nothing when a snapshot is needed.
     pub fn records_after(&self, version: ConfigVersion, limit: usize) -> Option<Vec<Bytes>> {
-        self.tail.after(version, limit)
+        self.tail.records_after(version, limit)
     }
 
     /// Takes a document if it is newer than what is held, and remembers the one
@@ -143,7 +143,9 @@
         let view = if has_changed {
             ConfigView::try_from(&self.state)
         } else {
-            Ok(self.view.at(self.state.version(), self.state.chain()))
+            Ok(self
+                .view
+                .with_version(self.state.version(), self.state.chain()))
         };
         match view {
             Ok(view) => self.view = Arc::new(view),
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -207,7 +207,7 @@
     if !service.spec.permits(address.ip()) {
         return Err(AnnounceError::NotPermitted(address));
     }
-    let allowed = service.spec.slot_bound();
+    let allowed = service.spec.effective_max_slots();
     if !(SlotCount(1)..=allowed).contains(&announcement.slots) {
         return Err(AnnounceError::Slots {
             announced: announcement.slots,
@@ -290,7 +290,7 @@
     instance: &InstanceId,
     incarnation: Option<Incarnation>,
 ) -> bool {
-    let now = Incarnation(node.clock.wall_millis());
+    let now = Incarnation(node.clock.unix_millis());
     if !lock(&node.announces).leave(instance, incarnation, now) {
         publish(node).await;
         return false;
--- a/wisteriaturnd/src/http/pool.rs
+++ b/wisteriaturnd/src/http/pool.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use wisteriaturn::clock::{SharedClock, lock};
-use wisteriaturn::ids::LifeId;
+use wisteriaturn::ids::BootId;
 use wisteriaturn::peer::auth::MeshKeys;
 
 use crate::error::LinkError;
@@ -53,7 +53,7 @@
     /// Sends the request.
     pub sender: SendRequest<NodeBody>,
     /// Life of the node on the other side; 0 for a target.
-    pub life: LifeId,
+    pub life: BootId,
     /// Whether the connection served an exchange before.
     pub is_reused: bool,
     address: SocketAddr,
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 struct IdleLink {
     sender: SendRequest<NodeBody>,
-    life: LifeId,
+    life: BootId,
     keep: Duration,
     since: Instant,
 }
@@ -165,7 +165,7 @@
         }
         let life = match &self.keys {
             Some(keys) => handshake::connect(&mut stream, keys, PortUse::Hop).await?,
-            None => LifeId(0),
+            None => BootId(0),
         };
         let (sender, connection) = Builder::new()
             .max_buf_size(HEAD_LIMIT)
--- a/wisteriaturnd/src/ingress/placing.rs
+++ b/wisteriaturnd/src/ingress/placing.rs
@@ -60,7 +60,7 @@
     let targets = if tried.is_empty() {
         call.view.targets(service)
     } else {
-        node.view.load().targets_if_held(service)?
+        node.view.load().find_targets(service)?
     };
     let targets = if node.is_isolated() {
         let own = targets
--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 use wisteriaturn::clock::lock;
 use wisteriaturn::ids::{ConfigVersion, NodeAddress};
-use wisteriaturn::invariant::{Rule, check};
+use wisteriaturn::invariant::{Invariant, check};
 use wisteriaturn::member::probe::random_peers;
 use wisteriaturn::member::record::MemberState;
 use wisteriaturn::member::rumor::Rumor;
@@ -202,7 +202,7 @@
         peer_client::spawn_pull(node, from);
     }
     if status.version == own.version {
-        check(Rule::SameFold, status.chain == own.chain);
+        check(Invariant::SameFold, status.chain == own.chain);
     }
 }
 
--- a/wisteriaturnd/src/mesh/handshake.rs
+++ b/wisteriaturnd/src/mesh/handshake.rs
@@ -10,7 +10,7 @@
 
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::time::timeout;
-use wisteriaturn::ids::LifeId;
+use wisteriaturn::ids::BootId;
 use wisteriaturn::peer::auth::{MeshKeys, TAG_LENGTH};
 
 use crate::error::LinkError;
@@ -45,14 +45,14 @@
 /// # Errors
 ///
 /// [`LinkError`] when the connection fails or the proof does not hold.
-pub async fn connect<S>(stream: &mut S, keys: &MeshKeys, port: PortUse) -> Result<LifeId, LinkError>
+pub async fn connect<S>(stream: &mut S, keys: &MeshKeys, port: PortUse) -> Result<BootId, LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
     timeout(HANDSHAKE_TIME, connect_now(stream, keys, port)).await?
 }
 
-async fn connect_now<S>(stream: &mut S, keys: &MeshKeys, port: PortUse) -> Result<LifeId, LinkError>
+async fn connect_now<S>(stream: &mut S, keys: &MeshKeys, port: PortUse) -> Result<BootId, LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -68,7 +68,7 @@
     let answer = keys.sign(&transcript(port, b"connect", theirs, &mine, life));
     stream.write_all(&answer).await.map_err(unreachable)?;
     let life = life.try_into().unwrap_or_default();
-    Ok(LifeId(u64::from_le_bytes(life)))
+    Ok(BootId(u64::from_le_bytes(life)))
 }
 
 /// Proves the key on a connection that this node accepted and checks the
@@ -81,7 +81,7 @@
     stream: &mut S,
     keys: &MeshKeys,
     port: PortUse,
-    life: LifeId,
+    life: BootId,
 ) -> Result<(), LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -93,7 +93,7 @@
     stream: &mut S,
     keys: &MeshKeys,
     port: PortUse,
-    life: LifeId,
+    life: BootId,
 ) -> Result<(), LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -18,7 +18,7 @@
 use wisteriaturn::gate::ledger::BODY_LIMIT;
 use wisteriaturn::gate::outcome::RefusalReason;
 use wisteriaturn::ids::{
-    CallId, CallPriority, Fingerprint, KeyHash, LifeId, NodeAddress, RouteName, ServiceName,
+    BootId, CallId, CallPriority, Fingerprint, KeyHash, NodeAddress, RouteName, ServiceName,
 };
 use wisteriaturn::peer::message::{InquiryAnswer, PeerAnswer, PeerRequest, decode};
 use wisteriaturn::retry::deadline::CallDeadline;
@@ -90,7 +90,7 @@
     /// Nothing was sent.
     Unsent,
     /// The exchange was lost; asked, the gate of this life may know more.
-    Lost(LifeId),
+    Lost(BootId),
 }
 
 /// Writes a call into the headers of a request between nodes.
@@ -160,7 +160,7 @@
     node: &NodeHandle,
     target: &TargetEntry,
     call: &GateCall,
-    life: LifeId,
+    life: BootId,
 ) -> InquiryAnswer {
     let now = node.clock.now();
     let wait = call.deadline.remaining(now).max(LEAST_ASK_TIME);
@@ -201,7 +201,7 @@
     node: &NodeHandle,
     hop: NodeAddress,
     call: CallId,
-    life: LifeId,
+    life: BootId,
 ) -> InquiryAnswer {
     ask(node, hop, ASK_REVOKE, call, life)
         .await
@@ -232,7 +232,7 @@
     hop: NodeAddress,
     question: &str,
     call: CallId,
-    life: LifeId,
+    life: BootId,
 ) -> Result<InquiryAnswer, LinkError> {
     let mut link = node.hop_pool.open(hop).await?;
     if link.life != life {
--- a/wisteriaturnd/src/metrics.rs
+++ b/wisteriaturnd/src/metrics.rs
@@ -12,7 +12,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
-use wisteriaturn::invariant::{RULES, violations};
+use wisteriaturn::invariant::{INVARIANTS, violations};
 
 /// Labels of a call's end.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -212,7 +212,7 @@
     /// Returns all metrics as text; `log_bytes` comes from the log's port.
     pub fn encode(&self, log_bytes: u64) -> String {
         self.log_bytes.set(log_bytes);
-        for rule in RULES {
+        for rule in INVARIANTS {
             self.rules
                 .get_or_create(&RuleLabels { rule: rule.name() })
                 .set(violations(rule));
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -20,7 +20,7 @@
 use wisteriaturn::gate::ledger::CallLedger;
 use wisteriaturn::gate::quarantine::SuspectTable;
 use wisteriaturn::ids::{
-    ConfigVersion, DataCentre, Incarnation, LifeId, NodeAddress, Sequence, ServiceName,
+    BootId, ConfigVersion, DataCentre, Incarnation, NodeAddress, Sequence, ServiceName,
 };
 use wisteriaturn::log_port::LogPort;
 use wisteriaturn::member::directory::DirectoryPort;
@@ -73,7 +73,7 @@
     /// The clock.
     pub clock: SharedClock,
     /// This run of the process.
-    pub life: LifeId,
+    pub life: BootId,
     /// Where the node stands.
     pub place: NodePlace,
     /// The view in force.
@@ -253,7 +253,7 @@
         let (settings, clock) = (self.settings, self.clock);
         let own = MemberRecord {
             address: settings.peer,
-            incarnation: Incarnation(clock.wall_millis()),
+            incarnation: Incarnation(clock.unix_millis()),
             sequence: Sequence(0),
             state: MemberState::Alive,
             region: settings.region.clone(),
@@ -271,7 +271,7 @@
         let (claims, claim_queues) = ClaimDesk::new();
         let (keeper, keeper_queues) = ClaimKeeper::new();
         let node = NodeHandle(Arc::new(NodeState {
-            life: LifeId(rand::random()),
+            life: BootId(rand::random()),
             place,
             view: ViewCell::new(),
             store: Mutex::new(ConfigStore::new()),
@@ -499,6 +499,6 @@
     /// Returns the next number for a loss of a target.
     pub fn next_loss(&self) -> u64 {
         // Losses are told apart across restarts by the wall time.
-        self.clock.wall_millis() + self.losses.fetch_add(1, Ordering::Relaxed)
+        self.clock.unix_millis() + self.losses.fetch_add(1, Ordering::Relaxed)
     }
 }
--- a/wisteriaturnd/src/stream/client.rs
+++ b/wisteriaturnd/src/stream/client.rs
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// [`LogError::Refused`] when the request was not sent, [`LogError::Lost`]
+    /// [`LogError::Refused`] when the request was not sent, [`LogError::Indeterminate`]
     /// when it may have been.
     pub async fn exchange(
         &self,
@@ -55,7 +55,7 @@
         let exchange = self.exchange_now(method, path, body);
         timeout(wait + self.answer_time, exchange)
             .await
-            .map_err(|_| LogError::Lost("no answer in time".to_owned()))?
+            .map_err(|_| LogError::Indeterminate("no answer in time".to_owned()))?
     }
 
     async fn exchange_now(
@@ -65,7 +65,7 @@
         body: Bytes,
     ) -> Result<(StatusCode, Bytes), LogError> {
         let refused = |why: String| LogError::Refused(why);
-        let lost = |why: String| LogError::Lost(why);
+        let lost = |why: String| LogError::Indeterminate(why);
         let mut request = Request::builder()
             .method(method)
             .uri(path)
--- a/wisteriaturnd/src/stream/http.rs
+++ b/wisteriaturnd/src/stream/http.rs
@@ -80,7 +80,7 @@
         }
         if status != StatusCode::OK {
             // The record may have been written before the error.
-            return Err(LogError::Lost(status.to_string()));
+            return Err(LogError::Indeterminate(status.to_string()));
         }
         let reply: AppendReply = decode(&body)?;
         Ok(reply.offset)
@@ -104,7 +104,7 @@
                 let reply: TrimReply = decode(&body)?;
                 Err(LogError::Trimmed { first: reply.first })
             }
-            _ => Err(LogError::Lost(status.to_string())),
+            _ => Err(LogError::Indeterminate(status.to_string())),
         }
     }
 }
@@ -113,7 +113,8 @@
 where
     T: serde::de::DeserializeOwned,
 {
-    serde_json::from_slice(body).map_err(|error| LogError::Lost(format!("bad answer: {error}")))
+    serde_json::from_slice(body)
+        .map_err(|error| LogError::Indeterminate(format!("bad answer: {error}")))
 }
 
 /// Checks that the records follow each other from the offset asked for: an
@@ -123,9 +124,9 @@
     for (expected, record) in (from.0..).zip(reply.records) {
         let data = STANDARD
             .decode(&record.data)
-            .map_err(|error| LogError::Lost(format!("bad record: {error}")))?;
+            .map_err(|error| LogError::Indeterminate(format!("bad record: {error}")))?;
         if record.offset.0 != expected {
-            return Err(LogError::Lost("records out of order".to_owned()));
+            return Err(LogError::Indeterminate("records out of order".to_owned()));
         }
         records.push(LogRecord {
             offset: record.offset,
