--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -16,10 +16,10 @@
     SlotCount,
 };
 use wisteriaturn::member::record::{MemberRecord, MemberState, TargetRecord, TargetState};
-use wisteriaturn::member::relay::relays;
+use wisteriaturn::member::role::relays;
 use wisteriaturn::member::table::MemberTable;
 use wisteriaturn::peer::message::encode;
-use wisteriaturn::route::choose::{NodePlace, choose_target};
+use wisteriaturn::route::choose::{NodeLocation, choose_target};
 use wisteriaturn::route::load::ServiceLoad;
 
 const NODES: u16 = 1_100;
@@ -165,7 +165,7 @@
     let view = ServingView::build(Arc::clone(&config), &members, |_, _| now);
     let name = service_name(7);
     let (targets, policy) = (view.targets(&name), PolicySpec::default_for(name));
-    let place = NodePlace {
+    let place = NodeLocation {
         region: members[0].region.clone(),
         data_centre: members[0].data_centre.clone(),
     };
--- a/src/gate/announce.rs
+++ b/src/gate/announce.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 use crate::ids::{Incarnation, InstanceId, Sequence};
-use crate::member::record::{DEPARTURE_LIMIT, TargetDeparture};
+use crate::member::record::{MAX_DEPARTURES, TargetDeparture};
 
 /// Most lives remembered; a VM has one target and replaces it now and then.
 pub const LIFE_LIMIT: usize = 256;
@@ -95,7 +95,7 @@
     }
 
     /// Returns the lives that are ending or have ended, the latest first and at
-    /// most [`DEPARTURE_LIMIT`].
+    /// most [`MAX_DEPARTURES`].
     pub fn departures(&self) -> Vec<TargetDeparture> {
         let mut departures: Vec<_> = self
             .lives
@@ -110,7 +110,7 @@
             })
             .collect();
         departures.sort_by(|a, b| (b.incarnation, &b.instance).cmp(&(a.incarnation, &a.instance)));
-        departures.truncate(DEPARTURE_LIMIT);
+        departures.truncate(MAX_DEPARTURES);
         departures
     }
 
--- a/src/member/isolation.rs
+++ b/src/member/isolation.rs
@@ -11,37 +11,37 @@
 
 /// Silence after which a node counts as cut off: two rounds of probes with
 /// their time for an answer. Lost datagrams do not last as long.
-pub const ISOLATION_TIME: Duration = Duration::from_millis(2_500);
+pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Least number of other members whose silence says something: fewer may all
 /// be gone.
-pub const LEAST_OTHERS: usize = 3;
+pub const MIN_OTHER_MEMBERS: usize = 3;
 
 /// When this node last heard another.
 #[derive(Debug, Clone, Copy)]
-pub struct LinkStanding {
+pub struct LinkMonitor {
     heard: Instant,
 }
 
-impl LinkStanding {
+impl LinkMonitor {
     /// Returns the standing of a node that starts now.
     pub fn new(now: Instant) -> Self {
         Self { heard: now }
     }
 
     /// Notes a sign of life of another node.
-    pub fn note_heard(&mut self, now: Instant) {
+    pub fn record_contact(&mut self, now: Instant) {
         self.heard = self.heard.max(now);
     }
 
-    /// Tells whether no other node was heard for [`ISOLATION_TIME`].
+    /// Tells whether no other node was heard for [`ISOLATION_TIMEOUT`].
     pub fn is_silent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard) >= ISOLATION_TIME
+        now.saturating_duration_since(self.heard) >= ISOLATION_TIMEOUT
     }
 
     /// Tells whether the node is cut off, as one of `others` members besides it
     /// that are expected to live.
     pub fn is_isolated(&self, others: usize, now: Instant) -> bool {
-        others >= LEAST_OTHERS && self.is_silent(now)
+        others >= MIN_OTHER_MEMBERS && self.is_silent(now)
     }
 }
--- a/src/member/source.rs
+++ b/src/member/reader.rs
@@ -10,20 +10,20 @@
 
 use crate::ids::{DataCentre, NodeAddress};
 use crate::member::record::MemberState;
-use crate::member::relay::{choose_members, choose_wide};
+use crate::member::role::{choose_members, choose_members_by_link};
 use crate::member::table::MemberTable;
 
 /// Most members that one reader reads for. A reader says that it lives 2.5 times
 /// a second with some 70 bytes, which is 4 KB/s for a full cell.
-pub const CELL_SIZE: usize = 24;
+pub const MEMBERS_PER_READER: usize = 24;
 
 /// Time between two signs of life of a reader.
-pub const SIGN_TIME: Duration = Duration::from_millis(400);
+pub const READER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time without a sign after which a member reads for itself: three signs, since
 /// a datagram may be lost, and well within the time in which a change must be in
 /// force.
-pub const SILENCE_TIME: Duration = Duration::from_millis(1_200);
+pub const READER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Returns the readers of a data centre.
 pub fn readers(table: &MemberTable, data_centre: &DataCentre) -> Vec<NodeAddress> {
@@ -31,8 +31,8 @@
         .live_in(data_centre)
         .filter(|record| record.state == MemberState::Alive && record.is_ready)
         .collect();
-    let count = members.len().div_ceil(CELL_SIZE);
-    choose_wide("source", &members, count)
+    let count = members.len().div_ceil(MEMBERS_PER_READER);
+    choose_members_by_link("source", &members, count)
 }
 
 /// Returns the member that reads for `member`, if any is ready.
@@ -50,7 +50,7 @@
 }
 
 /// Returns the members that a reader reads for, without itself.
-pub fn cell_of(
+pub fn members_read_by(
     table: &MemberTable,
     data_centre: &DataCentre,
     reader: NodeAddress,
--- a/src/member/record.rs
+++ b/src/member/record.rs
@@ -8,11 +8,11 @@
 };
 
 /// Most targets that one node vouches for.
-pub const TARGET_LIMIT: usize = 8;
+pub const MAX_TARGETS: usize = 8;
 
 /// Most ends of targets' lives in a record: late announcements are seconds late,
 /// and a VM replaces its one target now and then.
-pub const DEPARTURE_LIMIT: usize = 4;
+pub const MAX_DEPARTURES: usize = 4;
 
 record! {
     /// Whether a target takes calls.
--- a/src/member/relay.rs
+++ b/src/member/role.rs
@@ -9,7 +9,7 @@
 use crate::member::table::MemberTable;
 
 /// Relays in each data centre.
-pub const RELAY_COUNT: usize = 2;
+pub const RELAYS_PER_DATA_CENTRE: usize = 2;
 
 /// Returns the first `count` of `members` by their weight for `role`.
 pub fn choose_members<I>(role: &str, members: I, count: usize) -> Vec<NodeAddress>
@@ -35,7 +35,11 @@
 /// Returns the first `count` of `members` by their weight for a role that sends
 /// much, those with wide links first. A role that reads or hands on whole
 /// configurations would fill a thin link and hold up the calls on it.
-pub fn choose_wide(role: &str, members: &[&MemberRecord], count: usize) -> Vec<NodeAddress> {
+pub fn choose_members_by_link(
+    role: &str,
+    members: &[&MemberRecord],
+    count: usize,
+) -> Vec<NodeAddress> {
     let widest = members.iter().map(|member| member.link.0).max();
     let is_wide = |member: &&MemberRecord| member.link.0 >= widest.unwrap_or_default() / WIDE_PART;
     let (wide, thin): (Vec<_>, Vec<_>) = members.iter().copied().partition(is_wide);
@@ -53,7 +57,7 @@
         .live_in(data_centre)
         .filter(|record| record.state == MemberState::Alive)
         .collect();
-    choose_wide("relay", &members, RELAY_COUNT)
+    choose_members_by_link("relay", &members, RELAYS_PER_DATA_CENTRE)
 }
 
 /// Returns the one member of the whole mesh that writes snapshots.
--- a/src/member/rumor.rs
+++ b/src/member/rumor.rs
@@ -10,7 +10,7 @@
 use crate::member::record::MemberRecord;
 
 /// Most rumors that wait to ride along.
-pub const RUMOR_LIMIT: usize = 512;
+pub const MAX_QUEUED_RUMORS: usize = 512;
 
 record! {
     /// A piece of news.
@@ -60,7 +60,7 @@
                 Rumor::Suspect { .. } | Rumor::Cleared { .. } => true,
             });
         }
-        if self.queue.len() >= RUMOR_LIMIT {
+        if self.queue.len() >= MAX_QUEUED_RUMORS {
             self.queue.pop_back();
         }
         let left = 3 * (usize::BITS - members.leading_zeros()).max(1);
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -11,20 +11,20 @@
 use crate::member::record::{MemberRecord, MemberState, TargetDeparture};
 
 /// Most members that a node keeps.
-pub const MEMBER_LIMIT: usize = 8192;
+pub const MAX_MEMBERS: usize = 8192;
 
 /// How long a dead or left member is remembered. A late rumor that it was
 /// alive must still meet its tombstone.
-pub const TOMBSTONE_TIME: Duration = Duration::from_secs(600);
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 
 /// What a merge did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum MergeOutcome {
     /// The record says nothing new.
-    Known,
+    Unchanged,
     /// The record was taken.
-    Taken,
+    Applied,
     /// The record claims that this node is not alive; the node has raised its
     /// sequence and must spread its own record.
     Refuted,
@@ -38,12 +38,12 @@
     /// What the member says.
     pub record: MemberRecord,
     /// Highest version that this node saw the member hold.
-    pub held: ConfigVersion,
+    pub held_version: ConfigVersion,
     /// Targets that the member's last life with any knew to leave. A restarted
     /// member knows none until it is told.
     pub departures: Vec<TargetDeparture>,
     /// When the standing last changed.
-    pub changed: Instant,
+    pub updated_at: Instant,
     digest: u64,
 }
 
@@ -128,18 +128,18 @@
             return self.merge_own(&record, now);
         }
         match self.members.get(&record.address) {
-            Some(held) if held.record.rank() >= record.rank() => return MergeOutcome::Known,
-            None if self.members.len() >= MEMBER_LIMIT => return MergeOutcome::Full,
+            Some(held) if held.record.rank() >= record.rank() => return MergeOutcome::Unchanged,
+            None if self.members.len() >= MAX_MEMBERS => return MergeOutcome::Full,
             Some(_) | None => {}
         }
         self.put(record, now);
-        MergeOutcome::Taken
+        MergeOutcome::Applied
     }
 
     /// Marks a member as seen with a version; versions only rise.
-    pub fn note_held(&mut self, address: NodeAddress, version: ConfigVersion) {
+    pub fn record_held_version(&mut self, address: NodeAddress, version: ConfigVersion) {
         if let Some(entry) = self.members.get_mut(&address) {
-            entry.held = entry.held.max(version);
+            entry.held_version = entry.held_version.max(version);
         }
     }
 
@@ -173,19 +173,20 @@
             .filter(|entry| {
                 entry.record.state == MemberState::Suspect
                     && entry.record.data_centre == *data_centre
-                    && now.duration_since(entry.changed) >= timeout
+                    && now.duration_since(entry.updated_at) >= timeout
             })
             .map(|entry| entry.record.address)
             .collect()
     }
 
-    /// Forgets members that have been gone for [`TOMBSTONE_TIME`].
-    pub fn forget_gone(&mut self, now: Instant) {
+    /// Forgets members that have been gone for [`TOMBSTONE_RETENTION`].
+    pub fn remove_expired_tombstones(&mut self, now: Instant) {
         let gone: Vec<_> = self
             .members
             .values()
             .filter(|entry| {
-                !entry.record.is_live() && now.duration_since(entry.changed) >= TOMBSTONE_TIME
+                !entry.record.is_live()
+                    && now.duration_since(entry.updated_at) >= TOMBSTONE_RETENTION
             })
             .map(|entry| entry.record.address)
             .collect();
@@ -209,7 +210,7 @@
 
     /// Tells whether so large a share of a data centre looks dead that the
     /// likelier reason is this node's own link.
-    pub fn looks_cut_off(&self, data_centre: &DataCentre) -> bool {
+    pub fn is_likely_cut_off(&self, data_centre: &DataCentre) -> bool {
         let mut all = 0;
         let mut lost = 0;
         for entry in self.members.values() {
@@ -230,7 +231,7 @@
         let is_stale = is_same_life && record.sequence < own.sequence;
         let is_agreed = is_same_life && record.rank() <= own.rank();
         if is_older || is_stale || is_agreed {
-            return MergeOutcome::Known;
+            return MergeOutcome::Unchanged;
         }
         let (incarnation, sequence) = (record.incarnation, record.sequence);
         self.update_own(now, |own| {
@@ -245,8 +246,8 @@
         if let Some(old) = &old {
             self.toggle_digest(&old.record.data_centre, old.digest);
         }
-        let (held, mut departures) = old
-            .map(|old| (old.held, old.departures))
+        let (held_version, mut departures) = old
+            .map(|old| (old.held_version, old.departures))
             .unwrap_or_default();
         if !record.departures.is_empty() {
             departures.clone_from(&record.departures);
@@ -256,9 +257,9 @@
         self.generation += 1;
         let entry = MemberEntry {
             record,
-            held,
+            held_version,
             departures,
-            changed: now,
+            updated_at: now,
             digest,
         };
         self.members.insert(entry.record.address, entry);
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -10,10 +10,10 @@
 use serde::de::DeserializeOwned;
 
 use crate::error::CodecError;
-use crate::peer::message::{FRAME_LIMIT, decode, encode};
+use crate::peer::message::{MAX_FRAME_BYTES, decode, encode};
 
 /// Bytes from which a message is compressed: about one packet.
-pub const COMPRESS_FROM: usize = 1_200;
+pub const MIN_COMPRESSED_BYTES: usize = 1_200;
 
 /// First byte of a message as it is.
 const PLAIN: u8 = 0;
@@ -32,14 +32,14 @@
 {
     let bytes = encode(message)?;
     let mut frame = Vec::with_capacity(bytes.len() + 1);
-    if bytes.len() < COMPRESS_FROM {
+    if bytes.len() < MIN_COMPRESSED_BYTES {
         frame.push(PLAIN);
         frame.extend(bytes);
         return Ok(frame);
     }
     let too_large = |_| CodecError::TooLarge {
         length: bytes.len(),
-        limit: FRAME_LIMIT,
+        limit: MAX_FRAME_BYTES,
     };
     let length = u32::try_from(bytes.len()).map_err(too_large)?;
     frame.push(COMPRESSED);
@@ -63,10 +63,10 @@
         COMPRESSED => {
             let (length, rest) = rest.split_first_chunk().ok_or(CodecError::Malformed)?;
             let length = u32::from_be_bytes(*length) as usize;
-            if length > FRAME_LIMIT {
+            if length > MAX_FRAME_BYTES {
                 return Err(CodecError::TooLarge {
                     length,
-                    limit: FRAME_LIMIT,
+                    limit: MAX_FRAME_BYTES,
                 });
             }
             let bytes = decompress(rest, length).map_err(|_| CodecError::Malformed)?;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -19,16 +19,16 @@
 use crate::member::rumor::Rumor;
 
 /// Largest datagram in bytes; below the smallest usual path limit.
-pub const DATAGRAM_LIMIT: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
 /// Bytes that rumors may take in one probe.
-pub const RUMOR_BUDGET: usize = 700;
+pub const MAX_RUMOR_BYTES: usize = 700;
 
 /// Largest request or answer in bytes.
-pub const FRAME_LIMIT: usize = 20 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 20 * 1024 * 1024;
 
 /// Bytes of configuration records in one answer.
-pub const RECORDS_LIMIT: usize = 1024 * 1024;
+pub const MAX_RECORDS_BYTES: usize = 1024 * 1024;
 
 record! {
     /// What a node says of its state with every probe.
@@ -63,14 +63,14 @@
             rumors: Vec<Rumor>,
         },
         /// Asks the receiver to ping another node on the sender's behalf.
-        PingFor {
+        IndirectPing {
             /// Number that the answer repeats.
             nonce: u64,
             /// Node to ping.
             target: NodeAddress,
         },
-        /// Says that the node of a [`Datagram::PingFor`] answered.
-        AckFor {
+        /// Says that the node of a [`Datagram::IndirectPing`] answered.
+        IndirectAck {
             /// Number of the request.
             nonce: u64,
         },
@@ -82,13 +82,13 @@
             record: Option<Bytes>,
         },
         /// Urgent news.
-        News {
+        Rumors {
             /// The news.
             rumors: Vec<Rumor>,
         },
         /// Says that the sender reads the source of documents for the receiver
         /// and had an answer just now.
-        SourceAlive {
+        ReaderHeartbeat {
             /// Version in force at the sender.
             version: ConfigVersion,
             /// Where the sender goes on reading: all before it is in force, so
@@ -163,7 +163,7 @@
             departures: Vec<TargetDeparture>,
         },
         /// The data centres whose members differ.
-        Differ(Vec<DataCentre>),
+        Differing(Vec<DataCentre>),
         /// Records that the receiver holds and the sender lacks.
         Records(Vec<MemberRecord>),
         /// Records of the configuration, without gaps.
@@ -176,7 +176,7 @@
         /// A snapshot of the configuration.
         Snapshot(Bytes),
         /// Who holds a version in one data centre.
-        Held(HeldReport),
+        Holders(HolderReport),
         /// What became of claims, in the order asked.
         Claimed(Vec<ClaimVerdict>),
         /// What a gate said of a call.
@@ -196,7 +196,7 @@
     }
 
     /// Who holds a version in one data centre.
-    pub struct HeldReport {
+    pub struct HolderReport {
         /// The data centre.
         pub data_centre: DataCentre,
         /// Live members that hold the version.
--- a/src/route/choose.rs
+++ b/src/route/choose.rs
@@ -17,7 +17,7 @@
 use crate::route::load::ServiceLoad;
 
 /// Distances: own data centre, own region, other regions.
-pub const DISTANCES: u8 = 3;
+pub const DISTANCE_COUNT: u8 = 3;
 
 /// Latency that is added to the mean, so that a target without samples is not
 /// taken for an infinitely fast one, in seconds.
@@ -31,7 +31,7 @@
 
 /// Where a node stands.
 #[derive(Debug, Clone)]
-pub struct NodePlace {
+pub struct NodeLocation {
     /// Region.
     pub region: RegionName,
     /// Data centre.
@@ -90,7 +90,7 @@
     pub is_last_resort: bool,
 }
 
-impl NodePlace {
+impl NodeLocation {
     /// Returns how far away a target is.
     pub fn distance(&self, target: &TargetEntry) -> u8 {
         if target.data_centre == self.data_centre {
@@ -105,7 +105,7 @@
 
 /// Chooses a target for one attempt.
 pub fn choose_target<R>(
-    place: &NodePlace,
+    place: &NodeLocation,
     targets: &[TargetEntry],
     policy: &PolicySpec,
     load: &mut ServiceLoad,
@@ -116,7 +116,7 @@
 where
     R: Rng,
 {
-    let mut candidates = judge_all(place, targets, load, tried, now);
+    let mut candidates = assess_candidates(place, targets, load, tried, now);
     let reach = update_reach(&candidates, policy, load);
     let eligible = within_reach(&mut candidates, reach);
     let chosen = match eligible.as_slice() {
@@ -136,8 +136,8 @@
 }
 
 /// Tells of each target whether it can be chosen.
-pub(crate) fn judge_all(
-    place: &NodePlace,
+pub(crate) fn assess_candidates(
+    place: &NodeLocation,
     targets: &[TargetEntry],
     load: &mut ServiceLoad,
     tried: &[NodeAddress],
@@ -150,7 +150,7 @@
 }
 
 fn judge(
-    place: &NodePlace,
+    place: &NodeLocation,
     target: &TargetEntry,
     load: &mut ServiceLoad,
     tried: &[NodeAddress],
@@ -180,17 +180,17 @@
 /// Moves the reach out when the targets within it are loaded beyond the upper
 /// bound, and back in when the nearer ones are below the lower bound.
 fn update_reach(candidates: &[TargetCandidate], policy: &PolicySpec, load: &mut ServiceLoad) -> u8 {
-    let reach = load.reach.min(DISTANCES - 1);
+    let reach = load.max_distance.min(DISTANCE_COUNT - 1);
     let enter = f64::from(policy.spill_enter.0) / 100.0;
     let leave = f64::from(policy.spill_leave.0) / 100.0;
-    load.reach = if load_within(candidates, reach) >= enter {
-        (reach + 1).min(DISTANCES - 1)
+    load.max_distance = if load_within(candidates, reach) >= enter {
+        (reach + 1).min(DISTANCE_COUNT - 1)
     } else if reach > 0 && load_within(candidates, reach - 1) < leave {
         reach - 1
     } else {
         reach
     };
-    load.reach
+    load.max_distance
 }
 
 /// Returns the load of the targets up to a distance; none at all is full.
@@ -227,7 +227,7 @@
         CandidateVerdict::Full,
         CandidateVerdict::Ejected,
     ] {
-        for reach in reach..DISTANCES {
+        for reach in reach..DISTANCE_COUNT {
             let found: Vec<usize> = (0..candidates.len())
                 .filter(|index| {
                     candidates[*index].verdict == verdict && candidates[*index].distance <= reach
@@ -273,7 +273,7 @@
     let seen = load.get(target);
     let fill = (f64::from(seen.busy(now)) + 1.0) / f64::from(target.slots.max(1));
     let mut score = fill * (seen.latency + LATENCY_BASE);
-    score /= warm_share(now.duration_since(target.since), policy);
+    score /= slow_start_factor(now.duration_since(target.since), policy);
     if target.is_suspect {
         score *= SUSPECT_FACTOR;
     }
@@ -281,7 +281,7 @@
 }
 
 /// Returns the share that a target of this age gets, up to 1.
-pub fn warm_share(age: Duration, policy: &PolicySpec) -> f64 {
+pub fn slow_start_factor(age: Duration, policy: &PolicySpec) -> f64 {
     if policy.slow_start_ms == 0 {
         return 1.0;
     }
--- a/src/route/place.rs
+++ b/src/route/cost.rs
@@ -24,7 +24,8 @@
 use crate::config::view::TargetEntry;
 use crate::ids::{NodeAddress, RouteName};
 use crate::route::choose::{
-    CandidateVerdict, NodePlace, TargetCandidate, TargetChoice, judge_all, warm_share,
+    CandidateVerdict, NodeLocation, TargetCandidate, TargetChoice, assess_candidates,
+    slow_start_factor,
 };
 use crate::route::load::ServiceLoad;
 
@@ -77,7 +78,7 @@
 
 /// What a call asks of its place.
 #[derive(Debug, Clone, Copy)]
-pub struct CallDemand {
+pub struct CallRequirements {
     /// Time left within which an answer is worth most.
     pub aim: Duration,
     /// Time left until no answer is worth anything.
@@ -90,40 +91,42 @@
 
 /// One attempt that is to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct PlacedCall<'a> {
+pub struct PlacementRequest<'a> {
     /// Its route.
     pub route: &'a RouteName,
     /// What the call asks.
-    pub demand: &'a CallDemand,
+    pub demand: &'a CallRequirements,
     /// Nodes that had an attempt already.
     pub tried: &'a [NodeAddress],
 }
 
 /// Chooses the target with the least cost.
-pub fn place_call<R>(
-    place: &NodePlace,
+pub fn choose_cheapest_target<R>(
+    place: &NodeLocation,
     targets: &[TargetEntry],
     policy: &PolicySpec,
     load: &mut ServiceLoad,
-    call: PlacedCall<'_>,
+    call: PlacementRequest<'_>,
     now: Instant,
     rng: &mut R,
 ) -> TargetChoice
 where
     R: Rng,
 {
-    let mut candidates = judge_all(place, targets, load, call.tried, now);
+    let mut candidates = assess_candidates(place, targets, load, call.tried, now);
     let mut prices = Vec::with_capacity(targets.len());
     for (target, candidate) in targets.iter().zip(&candidates) {
         let seen = load.get(target);
-        let mut extra = seen.fault_share(now) * FAULT_COST;
+        let mut extra = seen.failure_rate(now) * FAULT_COST;
         extra += cold_cost(target, policy, now);
         if target.is_suspect {
             extra += SUSPECT_COST;
         }
         prices.push(PlacePrice {
             candidate: candidate.clone(),
-            run: seen.mean_run(call.route, now).unwrap_or(call.demand.run),
+            run: seen
+                .mean_run_time(call.route, now)
+                .unwrap_or(call.demand.run),
             extra: extra + rng.random_range(0.0..NOISE),
         });
     }
@@ -147,7 +150,7 @@
 
 /// Returns the longest wait at the chosen target that is better than going to
 /// the next best one, by way of this node.
-fn patience_at(prices: &[PlacePrice], chosen: usize, demand: &CallDemand) -> Duration {
+fn patience_at(prices: &[PlacePrice], chosen: usize, demand: &CallRequirements) -> Duration {
     let detour = prices[chosen].round_trip();
     let next_best = prices
         .iter()
@@ -181,20 +184,20 @@
 
     /// Returns the cost by what is believed of the target's load, when the call
     /// gets there `later`.
-    fn believed(&self, demand: &CallDemand, later: Duration) -> f64 {
+    fn believed(&self, demand: &CallRequirements, later: Duration) -> f64 {
         let crowd = fill(&self.candidate).powi(2) * CROWD_COST;
         self.at(demand, later + completion(&self.candidate, self.run)) + crowd
     }
 
     /// Returns the cost if the call waits for a slot for `wait`: no slot is free
     /// then.
-    fn after_wait(&self, demand: &CallDemand, wait: Duration) -> f64 {
+    fn after_wait(&self, demand: &CallRequirements, wait: Duration) -> f64 {
         let run = self.run.mul_f64(1.0 + CROWD_FACTOR);
         self.at(demand, wait + run) + CROWD_COST
     }
 
     /// Returns the cost if the target takes `time`.
-    fn at(&self, demand: &CallDemand, time: Duration) -> f64 {
+    fn at(&self, demand: &CallRequirements, time: Duration) -> f64 {
         let bytes = demand.answer_bytes + HEAD_BYTES;
         let transfer = PRICE_PER_KB[self.distance()] * bytes / 1024.0;
         let time =
@@ -208,7 +211,7 @@
 
     /// Returns the longest wait here that costs no more than `limit`, to within
     /// a step of 1 in 64 of the call's time.
-    fn longest_wait(&self, demand: &CallDemand, limit: f64) -> Duration {
+    fn longest_wait(&self, demand: &CallRequirements, limit: f64) -> Duration {
         let (mut low, mut high) = (Duration::ZERO, demand.deadline);
         for _ in 0..PATIENCE_STEPS {
             let middle = (low + high) / 2;
@@ -248,14 +251,14 @@
 
 /// Returns the cost of a target that has just come up and runs slowly.
 fn cold_cost(target: &TargetEntry, policy: &PolicySpec, now: Instant) -> f64 {
-    let warm = warm_share(now.saturating_duration_since(target.since), policy);
+    let warm = slow_start_factor(now.saturating_duration_since(target.since), policy);
     (1.0 - warm) * TIME_COST
 }
 
 /// Returns the cheapest target that can be chosen; full ones and then ejected
 /// ones where there is no other, since an attempt that may be refused is better
 /// than none.
-fn cheapest(prices: &[PlacePrice], demand: &CallDemand) -> Option<usize> {
+fn cheapest(prices: &[PlacePrice], demand: &CallRequirements) -> Option<usize> {
     let costs: Vec<f64> = prices
         .iter()
         .map(|price| price.believed(demand, Duration::ZERO))
--- a/src/route/size.rs
+++ b/src/route/estimate.rs
@@ -25,7 +25,7 @@
 
 /// What to expect of the next answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AnswerSize {
+pub struct AnswerEstimate {
     /// Size in bytes.
     pub bytes: f64,
     /// Time until it is there.
@@ -34,18 +34,18 @@
 
 /// Mean sizes of answers by route; a cheap handle.
 #[derive(Debug, Clone, Default)]
-pub struct SizeBook {
-    means: Arc<Mutex<HashMap<RouteName, AnswerSize>>>,
+pub struct AnswerEstimator {
+    means: Arc<Mutex<HashMap<RouteName, AnswerEstimate>>>,
 }
 
-impl SizeBook {
+impl AnswerEstimator {
     /// Returns an empty book.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes the size of one answer in bytes and the time that it took.
-    pub fn note(&self, route: &RouteName, bytes: u64, took: Duration) {
+    pub fn record(&self, route: &RouteName, bytes: u64, took: Duration) {
         let bytes = bytes as f64;
         let mut means = lock(&self.means);
         if let Some(mean) = means.get_mut(route) {
@@ -56,17 +56,17 @@
         if means.len() >= ROUTE_LIMIT {
             means.clear();
         }
-        means.insert(route.clone(), AnswerSize { bytes, run: took });
+        means.insert(route.clone(), AnswerEstimate { bytes, run: took });
     }
 
     /// Returns the means of a route that had answers.
-    pub fn held(&self, route: &RouteName) -> Option<AnswerSize> {
+    pub fn measured(&self, route: &RouteName) -> Option<AnswerEstimate> {
         lock(&self.means).get(route).copied()
     }
 
     /// Returns what to expect of the next answer.
-    pub fn expect(&self, route: &RouteName) -> AnswerSize {
-        self.held(route).unwrap_or(AnswerSize {
+    pub fn estimate(&self, route: &RouteName) -> AnswerEstimate {
+        self.measured(route).unwrap_or(AnswerEstimate {
             bytes: FIRST_GUESS,
             run: FIRST_RUN,
         })
--- a/src/route/limit.rs
+++ b/src/route/limit.rs
@@ -8,25 +8,25 @@
 
 /// Counts the calls under way on each route; a cheap handle.
 #[derive(Debug, Clone, Default)]
-pub struct RouteLimit {
+pub struct RouteLimiter {
     counts: Arc<Mutex<HashMap<RouteName, u32>>>,
 }
 
 /// A call that is counted until this is dropped.
 #[derive(Debug)]
 pub struct RoutePermit {
-    limit: RouteLimit,
+    limit: RouteLimiter,
     route: RouteName,
 }
 
-impl RouteLimit {
+impl RouteLimiter {
     /// Returns a limit with no call under way.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Counts a call, or returns nothing when `most` are under way.
-    pub fn enter(&self, route: &RouteName, most: Option<u32>) -> Option<RoutePermit> {
+    pub fn try_acquire(&self, route: &RouteName, most: Option<u32>) -> Option<RoutePermit> {
         let mut counts = lock(&self.counts);
         let count = counts.entry(route.clone()).or_default();
         if most.is_some_and(|most| *count >= most) {
--- a/src/route/load.rs
+++ b/src/route/load.rs
@@ -11,16 +11,16 @@
 use crate::ids::{Incarnation, NodeAddress, RouteName, ServiceName};
 
 /// How long a reported load is believed.
-pub const REPORT_TIME: Duration = Duration::from_secs(2);
+pub const REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// How long a reported time of runs is believed.
-pub const RUN_TIME: Duration = Duration::from_secs(5);
+pub const RUN_TIME_TTL: Duration = Duration::from_secs(5);
 
 /// How long a target that said it is full is passed over.
-pub const FULL_TIME: Duration = Duration::from_millis(20);
+pub const FULL_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Longest ejection.
-pub const LONGEST_EJECTION: Duration = Duration::from_secs(60);
+pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
 /// Share of the failures' mean that a new sample gets: three failures in a row
 /// tell a failing target from one with a rare error.
@@ -104,23 +104,23 @@
     /// Returns the mean time of a route's runs, if the gate reported it lately.
     /// An older report would keep a target that was slow for a time out of use
     /// for ever, since only a call brings a new one.
-    pub fn mean_run(&self, route: &RouteName, now: Instant) -> Option<Duration> {
+    pub fn mean_run_time(&self, route: &RouteName, now: Instant) -> Option<Duration> {
         self.runs
             .iter()
             .find(|run| run.route == *route)
-            .filter(|run| now.saturating_duration_since(run.when) < RUN_TIME)
+            .filter(|run| now.saturating_duration_since(run.when) < RUN_TIME_TTL)
             .map(|run| run.mean)
     }
 
     /// Returns the share of calls that failed lately, from 0 to 1.
-    pub fn fault_share(&self, now: Instant) -> f64 {
+    pub fn failure_rate(&self, now: Instant) -> f64 {
         self.faults.at(now)
     }
 
     /// Returns the calls that the target is believed to have.
     pub fn busy(&self, now: Instant) -> u32 {
         match self.report {
-            Some((when, busy, own)) if now.duration_since(when) < REPORT_TIME => {
+            Some((when, busy, own)) if now.duration_since(when) < REPORT_TTL => {
                 busy.saturating_sub(own).saturating_add(self.in_flight)
             }
             Some(_) | None => self.in_flight,
@@ -160,7 +160,7 @@
 pub struct ServiceLoad {
     targets: HashMap<NodeAddress, TargetLoad>,
     /// Furthest distance that calls go to.
-    pub reach: u8,
+    pub max_distance: u8,
 }
 
 impl ServiceLoad {
@@ -186,19 +186,19 @@
     }
 
     /// Counts an attempt that starts.
-    pub fn begin(&mut self, target: &TargetEntry) {
+    pub fn start_attempt(&mut self, target: &TargetEntry) {
         self.get(target).in_flight += 1;
     }
 
     /// Counts an attempt that ended without touching the standing of its target.
-    pub fn leave(&mut self, node: NodeAddress) {
+    pub fn finish_attempt(&mut self, node: NodeAddress) {
         if let Some(load) = self.targets.get_mut(&node) {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
     }
 
     /// Takes the load that a gate reported with its answer.
-    pub fn note_report(&mut self, node: NodeAddress, busy: u32, now: Instant) {
+    pub fn record_load(&mut self, node: NodeAddress, busy: u32, now: Instant) {
         if let Some(load) = self.targets.get_mut(&node) {
             load.report = Some((now, busy, load.in_flight));
         }
@@ -207,7 +207,7 @@
     /// Takes the mean time of a route's runs that a gate reported with its
     /// answer. Routes are kept apart: a target that has many short calls is not
     /// faster than one that has few.
-    pub fn note_speed(
+    pub fn record_run_time(
         &mut self,
         node: NodeAddress,
         route: &RouteName,
@@ -218,7 +218,7 @@
             return;
         };
         load.runs.retain(|run| {
-            run.route != *route && now.saturating_duration_since(run.when) < RUN_TIME
+            run.route != *route && now.saturating_duration_since(run.when) < RUN_TIME_TTL
         });
         load.runs.push(RouteRun {
             route: route.clone(),
@@ -230,7 +230,7 @@
     /// Takes the result of an attempt, and ejects the target when it failed
     /// too often. At most the policy's share of `all` targets is ejected.
     /// Returns the ejection time when it ejects.
-    pub fn note_result(
+    pub fn record_result(
         &mut self,
         target: &TargetEntry,
         result: AttemptResult,
@@ -261,7 +261,7 @@
                 None
             }
             AttemptResult::Full => {
-                load.full_until = Some(now + FULL_TIME);
+                load.full_until = Some(now + FULL_BACKOFF);
                 None
             }
             AttemptResult::Refused => None,
@@ -277,7 +277,7 @@
     }
 
     /// Returns the number of targets that are ejected.
-    pub fn ejected(&self, now: Instant) -> usize {
+    pub fn ejected_count(&self, now: Instant) -> usize {
         self.targets
             .values()
             .filter(|load| load.is_ejected(now))
@@ -285,13 +285,13 @@
     }
 
     fn may_eject(&self, policy: &PolicySpec, all: usize, now: Instant) -> bool {
-        (self.ejected(now) + 1) * 100 <= all * usize::from(policy.eject_max_share.0)
+        (self.ejected_count(now) + 1) * 100 <= all * usize::from(policy.eject_max_share.0)
     }
 
     fn eject(&mut self, target: &TargetEntry, policy: &PolicySpec, now: Instant) -> Duration {
         let load = self.get(target);
         let factor = 1_u32 << load.ejections.min(10);
-        let time = (Duration::from_millis(policy.eject_base_ms) * factor).min(LONGEST_EJECTION);
+        let time = (Duration::from_millis(policy.eject_base_ms) * factor).min(MAX_EJECTION_TIME);
         load.ejections += 1;
         // One more failure after the ejection ejects again, for longer.
         load.failures = policy.eject_after - 1;
@@ -302,11 +302,11 @@
 
 /// What a node saw of all targets; a cheap handle.
 #[derive(Debug, Clone, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     services: Arc<RwLock<HashMap<ServiceName, Arc<Mutex<ServiceLoad>>>>>,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Returns an empty book.
     pub fn new() -> Self {
         Self::default()
@@ -324,7 +324,7 @@
     }
 
     /// Runs `f` on the page of a service.
-    pub fn with<F, T>(&self, name: &ServiceName, f: F) -> T
+    pub fn with_service<F, T>(&self, name: &ServiceName, f: F) -> T
     where
         F: FnOnce(&mut ServiceLoad) -> T,
     {
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -7,7 +7,7 @@
 //! See [docs/DESIGN.md](../../docs/DESIGN.md#5-the-request-path).
 
 pub mod choose;
+pub mod cost;
+pub mod estimate;
 pub mod limit;
 pub mod load;
-pub mod place;
-pub mod size;
--- a/testing/src/experiment/scale.rs
+++ b/testing/src/experiment/scale.rs
@@ -172,7 +172,7 @@
 
 /// Pushes one record to a node as a relay would.
 async fn push(socket: &UdpSocket, peer: SocketAddr, record: MemberRecord) -> Result<()> {
-    let datagram = Datagram::News {
+    let datagram = Datagram::Rumors {
         rumors: vec![Rumor::Member(record)],
     };
     let sealed = MeshKeys::derive([MESH_SECRET]).seal(encode(&datagram)?);
--- a/tests/integration/document_rules.rs
+++ b/tests/integration/document_rules.rs
@@ -13,10 +13,10 @@
 use wisteriaturn::ids::{
     ConfigVersion, DataCentre, Incarnation, LinkRate, NodeAddress, Percent, Sequence, SlotCount,
 };
-use wisteriaturn::member::pull::{PULL_PATIENCE, PullMark};
+use wisteriaturn::member::pull::{PULL_LEASE_TTL, PullLease};
+use wisteriaturn::member::reader::{MEMBERS_PER_READER, members_read_by, reader_of, readers};
 use wisteriaturn::member::record::{MemberRecord, MemberState};
-use wisteriaturn::member::relay::{RELAY_COUNT, relays};
-use wisteriaturn::member::source::{CELL_SIZE, cell_of, reader_of, readers};
+use wisteriaturn::member::role::{RELAYS_PER_DATA_CENTRE, relays};
 use wisteriaturn::member::table::MemberTable;
 
 fn service(name: &str) -> Resource {
@@ -127,9 +127,13 @@
     assert_eq!(readers.len(), expected);
     let mut read_for = 0;
     for reader in &readers {
-        let cell = cell_of(&table, &place, *reader);
+        let cell = members_read_by(&table, &place, *reader);
         // Rendezvous spreads members unevenly, within half again of a cell.
-        assert!(cell.len() <= CELL_SIZE * 3 / 2, "{} members", cell.len());
+        assert!(
+            cell.len() <= MEMBERS_PER_READER * 3 / 2,
+            "{} members",
+            cell.len()
+        );
         read_for += cell.len();
     }
     assert_eq!(read_for + readers.len(), usize::from(members));
@@ -154,17 +158,17 @@
 #[test]
 fn a_pull_that_hangs_keeps_no_other_from_starting() {
     let start = Instant::now();
-    let mut mark = PullMark::default();
-    let first = mark.begin(start).expect("nothing is under way");
-    assert_eq!(mark.begin(start + PULL_PATIENCE / 2), None);
+    let mut mark = PullLease::default();
+    let first = mark.try_start(start).expect("nothing is under way");
+    assert_eq!(mark.try_start(start + PULL_LEASE_TTL / 2), None);
     let second = mark
-        .begin(start + PULL_PATIENCE)
+        .try_start(start + PULL_LEASE_TTL)
         .expect("the first one hangs");
     // The first ends late, which says nothing about the second.
-    mark.end(first);
-    assert_eq!(mark.begin(start + PULL_PATIENCE), None);
-    mark.end(second);
-    assert!(mark.begin(start + PULL_PATIENCE).is_some());
+    mark.finish(first);
+    assert_eq!(mark.try_start(start + PULL_LEASE_TTL), None);
+    mark.finish(second);
+    assert!(mark.try_start(start + PULL_LEASE_TTL).is_some());
 }
 
 #[yare::parameterized(
@@ -203,6 +207,6 @@
     table.merge(linked(2, 140), now);
     table.merge(linked(3, 7), now);
     let chosen = relays(&table, &"r1-a".parse().expect("a name"));
-    assert_eq!(chosen.len(), RELAY_COUNT);
+    assert_eq!(chosen.len(), RELAYS_PER_DATA_CENTRE);
     assert_eq!(chosen[0], address(2));
 }
--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -7,8 +7,10 @@
 use wisteriaturn::error::CodecError;
 use wisteriaturn::gate::claim::{ClaimBatch, ClaimFold};
 use wisteriaturn::peer::auth::MeshKeys;
-use wisteriaturn::peer::frame::{COMPRESS_FROM, decode_frame, encode_frame};
-use wisteriaturn::peer::message::{Datagram, FRAME_LIMIT, PeerAnswer, PeerRequest, decode, encode};
+use wisteriaturn::peer::frame::{MIN_COMPRESSED_BYTES, decode_frame, encode_frame};
+use wisteriaturn::peer::message::{
+    Datagram, MAX_FRAME_BYTES, PeerAnswer, PeerRequest, decode, encode,
+};
 use wisteriaturnd::admin;
 use wisteriaturnd::error::SettingsError;
 use wisteriaturnd::logs::Clean;
@@ -33,7 +35,7 @@
 
     #[test]
     fn no_prefix_of_a_good_message_decodes(cut in 0..8_usize, nonce in any::<u64>()) {
-        let datagram = Datagram::AckFor { nonce };
+        let datagram = Datagram::IndirectAck { nonce };
         let bytes = encode(&datagram).expect("a message");
         prop_assert_eq!(decode::<Datagram>(&bytes), Ok(datagram));
         let cut = cut.min(bytes.len() - 1);
@@ -44,10 +46,10 @@
     }
 
     #[test]
-    fn a_frame_of_any_size_comes_back(length in 0..4 * COMPRESS_FROM, cut in 1..64_usize) {
+    fn a_frame_of_any_size_comes_back(length in 0..4 * MIN_COMPRESSED_BYTES, cut in 1..64_usize) {
         let answer = PeerAnswer::Snapshot(vec![7; length].into());
         let frame = encode_frame(&answer).expect("a frame");
-        prop_assert!(frame.len() <= COMPRESS_FROM, "{} bytes of one kind", frame.len());
+        prop_assert!(frame.len() <= MIN_COMPRESSED_BYTES, "{} bytes of one kind", frame.len());
         prop_assert_eq!(decode_frame::<PeerAnswer>(&frame), Ok(answer));
         let cut = frame.len().saturating_sub(cut);
         prop_assert!(decode_frame::<PeerAnswer>(&frame[..cut]).is_err());
@@ -94,7 +96,7 @@
     frame.extend([0; 16]);
     let refused = CodecError::TooLarge {
         length: u32::MAX as usize,
-        limit: FRAME_LIMIT,
+        limit: MAX_FRAME_BYTES,
     };
     assert_eq!(decode_frame::<PeerAnswer>(&frame), Err(refused));
     assert_eq!(
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -1,7 +1,7 @@
 //! A replay of load against the decisions: arrivals, work and speeds drawn from
 //! a seed, a clock that the replay moves, no sockets and no tasks.
 //!
-//! Every call goes the way that it goes in a node: `place_call` at an ingress
+//! Every call goes the way that it goes in a node: `choose_cheapest_target` at an ingress
 //! that knows of each target only what its own calls told it, the trip there,
 //! `SlotGate` at the target, the run, the trip back. What a call earns is what
 //! callers are served: all in time, part of it late, nothing after the deadline.
@@ -21,9 +21,9 @@
 use wisteriaturn::gate::outcome::RefusalReason;
 use wisteriaturn::gate::slots::{QueueRank, SlotDemand, SlotGate, SlotPermit};
 use wisteriaturn::ids::{CallPriority, Incarnation, LinkRate, NodeAddress, RouteName};
-use wisteriaturn::route::choose::NodePlace;
+use wisteriaturn::route::choose::NodeLocation;
+use wisteriaturn::route::cost::{CallRequirements, PlacementRequest, choose_cheapest_target};
 use wisteriaturn::route::load::{AttemptResult, ServiceLoad};
-use wisteriaturn::route::place::{CallDemand, PlacedCall, place_call};
 
 /// Worth of a late answer.
 const LATE_WORTH: f64 = 0.3;
@@ -193,8 +193,8 @@
                 let now = self.clock.now();
                 let seen = &mut self.loads[self.calls[call].ingress];
                 let node = self.targets[target].node;
-                seen.note_report(node, (load.busy + load.waiting) as u32, now);
-                seen.note_speed(node, &route(), run, now);
+                seen.record_load(node, (load.busy + load.waiting) as u32, now);
+                seen.record_run_time(node, &route(), run, now);
                 self.later(self.trip(call), Step::Answer(call));
             }
             Step::Answer(call) => self.answer(call),
@@ -237,24 +237,24 @@
         let is_settled = !held.crowded.is_empty() && !may_go_on;
         let (ingress, came) = (held.ingress, held.came);
         let zone = ingress / self.pattern.ingresses_a_zone;
-        let place = NodePlace {
+        let place = NodeLocation {
             region: format!("r{zone}").parse().expect("a name"),
             data_centre: format!("r{zone}-a").parse().expect("a name"),
         };
         let now = self.clock.now();
-        let demand = CallDemand {
+        let demand = CallRequirements {
             aim: (came + self.pattern.aim).saturating_duration_since(now),
             deadline: (came + self.pattern.deadline).saturating_duration_since(now),
             answer_bytes: 1_500.0,
             run: self.pattern.work,
         };
         let policy = PolicySpec::default_for("portal".parse().expect("a name"));
-        let placed = PlacedCall {
+        let placed = PlacementRequest {
             route: &route(),
             demand: &demand,
             tried: &excluded,
         };
-        let choice = place_call(
+        let choice = choose_cheapest_target(
             &place,
             &self.targets,
             &policy,
@@ -267,7 +267,7 @@
             self.result.refused += 1;
             return;
         };
-        self.loads[ingress].begin(&self.targets[target]);
+        self.loads[ingress].start_attempt(&self.targets[target]);
         let held = &mut self.calls[call];
         held.target = target;
         held.patience = if self.pattern.is_sent_on && !is_settled {
@@ -327,7 +327,7 @@
                     let busy = (load.busy + load.waiting) as u32;
                     let now = self.clock.now();
                     let node = self.targets[target].node;
-                    self.loads[self.calls[call].ingress].note_report(node, busy, now);
+                    self.loads[self.calls[call].ingress].record_load(node, busy, now);
                     self.later(self.trip(call), Step::Refused(call, reason));
                 }
             }
@@ -343,7 +343,7 @@
 
     fn leave(&mut self, call: usize) {
         let held = &self.calls[call];
-        self.loads[held.ingress].leave(self.targets[held.target].node);
+        self.loads[held.ingress].finish_attempt(self.targets[held.target].node);
     }
 
     fn answer(&mut self, call: usize) {
@@ -353,7 +353,7 @@
         let now = self.clock.now();
         let took = now - held.came;
         let target = self.targets[held.target].clone();
-        self.loads[held.ingress].note_result(
+        self.loads[held.ingress].record_result(
             &target,
             AttemptResult::Answered,
             took,
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -13,9 +13,9 @@
 use wisteriaturn::gate::slots::{QueueRank, SlotDemand, SlotGate};
 use wisteriaturn::ids::{CallPriority, Incarnation, LinkRate, NodeAddress, RouteName};
 use wisteriaturn::retry::budget::{RetryBudget, RetryLimit};
-use wisteriaturn::route::choose::{NodePlace, TargetChoice};
+use wisteriaturn::route::choose::{NodeLocation, TargetChoice};
+use wisteriaturn::route::cost::{CallRequirements, PlacementRequest, choose_cheapest_target};
 use wisteriaturn::route::load::{AttemptResult, ServiceLoad};
-use wisteriaturn::route::place::{CallDemand, PlacedCall, place_call};
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -226,7 +226,7 @@
     fn fill(&mut self, host: u8, calls: u32) {
         for _ in 0..calls {
             let target = self.targets[usize::from(host) - 1].clone();
-            self.load.begin(&target);
+            self.load.start_attempt(&target);
         }
     }
 
@@ -235,7 +235,7 @@
         let policy = policy();
         for _ in 0..times {
             self.load
-                .note_result(&target, result, ms(100), &policy, 3, self.now);
+                .record_result(&target, result, ms(100), &policy, 3, self.now);
         }
     }
 
@@ -248,24 +248,24 @@
     }
 
     fn place(&mut self, bytes: f64, aim: u64) -> TargetChoice {
-        let demand = CallDemand {
+        let demand = CallRequirements {
             aim: ms(aim),
             deadline: ms(aim * 4),
             answer_bytes: bytes,
             run: ms(160),
         };
-        let place = NodePlace {
+        let place = NodeLocation {
             region: "r1".parse().expect("a name"),
             data_centre: "r1-a".parse().expect("a name"),
         };
         let route = route();
-        let call = PlacedCall {
+        let call = PlacementRequest {
             route: &route,
             demand: &demand,
             tried: &[],
         };
         let policy = policy();
-        place_call(
+        choose_cheapest_target(
             &place,
             &self.targets,
             &policy,
@@ -396,11 +396,15 @@
     placement.fill(1, 1);
     let now = placement.now;
     let slow = Duration::from_millis(900);
-    placement.load.note_speed(address(1), &route(), slow, now);
+    placement
+        .load
+        .record_run_time(address(1), &route(), slow, now);
     assert_eq!(placement.choose(1_500.0, 500), Some(1));
     // Short calls of another route at the same target say nothing about it.
     let other: RouteName = "lookups".parse().expect("a name");
-    placement.load.note_speed(address(1), &other, ms(5), now);
+    placement
+        .load
+        .record_run_time(address(1), &other, ms(5), now);
     assert_eq!(placement.choose(1_500.0, 500), Some(1));
     placement.now += Duration::from_secs(6);
     assert_eq!(placement.choose(1_500.0, 500), Some(0), "it is tried again");
--- a/tests/integration/member_table.rs
+++ b/tests/integration/member_table.rs
@@ -5,10 +5,10 @@
 
 use proptest::prelude::*;
 use wisteriaturn::ids::{ConfigVersion, Incarnation, LinkRate, NodeAddress, Sequence};
-use wisteriaturn::member::isolation::{ISOLATION_TIME, LEAST_OTHERS, LinkStanding};
+use wisteriaturn::member::isolation::{ISOLATION_TIMEOUT, LinkMonitor, MIN_OTHER_MEMBERS};
 use wisteriaturn::member::probe::ProbeRound;
 use wisteriaturn::member::record::{MemberRecord, MemberState};
-use wisteriaturn::member::relay::{keeper, relays};
+use wisteriaturn::member::role::{keeper, relays};
 use wisteriaturn::member::rumor::{Rumor, RumorQueue};
 use wisteriaturn::member::table::{MemberTable, MergeOutcome};
 
@@ -102,7 +102,7 @@
     assert_eq!(outcome, MergeOutcome::Refuted);
     assert_eq!(
         table.merge(suspected.own().clone(), now),
-        MergeOutcome::Taken
+        MergeOutcome::Applied
     );
     assert_eq!(
         table.get(address(2)).expect("a member").record.state,
@@ -124,10 +124,10 @@
     let place = "r1-a".parse().expect("a name");
     for host in 2..=6 {
         table.set_state(address(host), MemberState::Suspect, now);
-        assert!(!table.looks_cut_off(&place), "{host}");
+        assert!(!table.is_likely_cut_off(&place), "{host}");
     }
     table.set_state(address(7), MemberState::Suspect, now);
-    assert!(table.looks_cut_off(&place));
+    assert!(table.is_likely_cut_off(&place));
 }
 
 #[test]
@@ -135,22 +135,22 @@
     let now = Instant::now();
     let mut table = table_of(2..=4, now);
     let before = table_of(3..=4, now).digest();
-    table.note_held(address(2), ConfigVersion(7));
-    table.note_held(address(2), ConfigVersion(5));
+    table.record_held_version(address(2), ConfigVersion(7));
+    table.record_held_version(address(2), ConfigVersion(5));
     table.set_state(address(2), MemberState::Dead, now);
     assert_eq!(
-        table.get(address(2)).expect("a tombstone").held,
+        table.get(address(2)).expect("a tombstone").held_version,
         ConfigVersion(7)
     );
-    assert_eq!(table.merge(alive(2), now), MergeOutcome::Known);
+    assert_eq!(table.merge(alive(2), now), MergeOutcome::Unchanged);
     let back = record(2, 2, 0, MemberState::Alive);
-    assert_eq!(table.merge(back, now), MergeOutcome::Taken);
+    assert_eq!(table.merge(back, now), MergeOutcome::Applied);
     assert_eq!(
-        table.get(address(2)).expect("a member").held,
+        table.get(address(2)).expect("a member").held_version,
         ConfigVersion(7)
     );
     table.set_state(address(2), MemberState::Dead, now);
-    table.forget_gone(now + Duration::from_secs(601));
+    table.remove_expired_tombstones(now + Duration::from_secs(601));
     assert!(table.get(address(2)).is_none());
     assert_eq!(table.digest(), before);
 }
@@ -207,16 +207,16 @@
 
 #[yare::parameterized(
     just_heard = { 8, Duration::ZERO, false },
-    a_lost_probe = { 8, ISOLATION_TIME / 2, false },
-    cut_off = { 8, ISOLATION_TIME, true },
-    the_least_that_says_something = { LEAST_OTHERS, ISOLATION_TIME, true },
-    a_mesh_of_three = { LEAST_OTHERS - 1, ISOLATION_TIME * 10, false },
+    a_lost_probe = { 8, ISOLATION_TIMEOUT / 2, false },
+    cut_off = { 8, ISOLATION_TIMEOUT, true },
+    the_least_that_says_something = { MIN_OTHER_MEMBERS, ISOLATION_TIMEOUT, true },
+    a_mesh_of_three = { MIN_OTHER_MEMBERS - 1, ISOLATION_TIMEOUT * 10, false },
 )]
 fn silence_of_many_is_the_own_link(others: usize, silence: Duration, is_isolated: bool) {
     let start = Instant::now();
-    let mut standing = LinkStanding::new(start);
+    let mut standing = LinkMonitor::new(start);
     let heard = start + Duration::from_secs(5);
-    standing.note_heard(heard);
-    standing.note_heard(start);
+    standing.record_contact(heard);
+    standing.record_contact(start);
     assert_eq!(standing.is_isolated(others, heard + silence), is_isolated);
 }
--- a/tests/integration/route_rules.rs
+++ b/tests/integration/route_rules.rs
@@ -10,16 +10,18 @@
 use wisteriaturn::ids::{Incarnation, LinkRate, NodeAddress, Percent};
 use wisteriaturn::retry::budget::RetryBudget;
 use wisteriaturn::retry::deadline::CallDeadline;
-use wisteriaturn::route::choose::{CandidateVerdict, NodePlace, choose_target, warm_share};
-use wisteriaturn::route::limit::RouteLimit;
+use wisteriaturn::route::choose::{
+    CandidateVerdict, NodeLocation, choose_target, slow_start_factor,
+};
+use wisteriaturn::route::limit::RouteLimiter;
 use wisteriaturn::route::load::{AttemptResult, ServiceLoad};
 
 fn address(host: u8) -> NodeAddress {
     NodeAddress::from(([127, 0, 0, host], 7083))
 }
 
-fn place() -> NodePlace {
-    NodePlace {
+fn place() -> NodeLocation {
+    NodeLocation {
         region: "r1".parse().expect("a name"),
         data_centre: "r1-a".parse().expect("a name"),
     }
@@ -67,22 +69,22 @@
         assert!(choose(&targets, &mut load, &[]) < Some(2));
     }
     for _ in 0..4 {
-        load.begin(&targets[0]);
-        load.begin(&targets[1]);
+        load.start_attempt(&targets[0]);
+        load.start_attempt(&targets[1]);
     }
     assert_eq!(
-        choose(&targets, &mut load, &[]).map(|_| load.reach),
+        choose(&targets, &mut load, &[]).map(|_| load.max_distance),
         Some(1)
     );
     // A little room does not bring the calls back at once.
-    load.leave(address(1));
+    load.finish_attempt(address(1));
     choose(&targets, &mut load, &[]);
-    assert_eq!(load.reach, 1);
+    assert_eq!(load.max_distance, 1);
     for _ in 0..3 {
-        load.leave(address(1));
+        load.finish_attempt(address(1));
     }
     choose(&targets, &mut load, &[]);
-    assert_eq!(load.reach, 0);
+    assert_eq!(load.max_distance, 0);
 }
 
 #[test]
@@ -98,14 +100,14 @@
 fn the_less_loaded_of_two_wins_and_a_cold_target_gets_less() {
     let targets = vec![target(1, "r1", "r1-a"), target(2, "r1", "r1-a")];
     let mut load = ServiceLoad::default();
-    load.begin(&targets[0]);
-    load.begin(&targets[0]);
+    load.start_attempt(&targets[0]);
+    load.start_attempt(&targets[0]);
     for _ in 0..20 {
         assert_eq!(choose(&targets, &mut load, &[]), Some(1));
     }
     let policy = policy();
-    assert!(warm_share(Duration::ZERO, &policy) < 0.2);
-    assert!(warm_share(Duration::from_secs(60), &policy) >= 1.0);
+    assert!(slow_start_factor(Duration::ZERO, &policy) < 0.2);
+    assert!(slow_start_factor(Duration::from_secs(60), &policy) >= 1.0);
 }
 
 #[test]
@@ -116,7 +118,7 @@
     let now = Instant::now();
     let fail = |load: &mut ServiceLoad, target: &TargetEntry, now| {
         let took = Duration::from_millis(1);
-        load.note_result(target, AttemptResult::Failed, took, &policy, 4, now)
+        load.record_result(target, AttemptResult::Failed, took, &policy, 4, now)
     };
     for target in &targets {
         for _ in 0..4 {
@@ -132,9 +134,9 @@
         Some(Duration::from_secs(2))
     );
     assert_eq!(fail(&mut load, &targets[2], now), None, "half are ejected");
-    assert_eq!(load.ejected(now), 2);
+    assert_eq!(load.ejected_count(now), 2);
     let later = now + Duration::from_secs(2);
-    assert_eq!(load.ejected(later), 0);
+    assert_eq!(load.ejected_count(later), 0);
     assert_eq!(
         fail(&mut load, &targets[0], later),
         Some(Duration::from_secs(4))
@@ -151,9 +153,9 @@
     let mut load = ServiceLoad::default();
     let now = Instant::now();
     load.get(&targets[0]);
-    load.note_report(address(1), 4, now);
+    load.record_load(address(1), 4, now);
     assert_eq!(load.get(&targets[0]).busy(now), 4);
-    load.begin(&targets[0]);
+    load.start_attempt(&targets[0]);
     assert_eq!(load.get(&targets[0]).busy(now), 5);
     assert_eq!(load.get(&targets[0]).busy(now + Duration::from_secs(3)), 1);
 }
@@ -171,10 +173,10 @@
         let now = Instant::now();
         for (index, target) in targets.iter().enumerate() {
             for _ in 0..busy[index] {
-                load.begin(target);
+                load.start_attempt(target);
             }
             for _ in 0..if ejected[index] { 5 } else { 0 } {
-                load.note_result(target, AttemptResult::Failed, Duration::ZERO, &policy, 4, now);
+                load.record_result(target, AttemptResult::Failed, Duration::ZERO, &policy, 4, now);
             }
         }
         let tried: Vec<_> = tried.into_iter().map(address).collect();
@@ -187,7 +189,7 @@
             }
             None => prop_assert!(targets.iter().all(|target| tried.contains(&target.node))),
         }
-        prop_assert!(load.ejected(now) <= 2);
+        prop_assert!(load.ejected_count(now) <= 2);
     }
 
     #[test]
@@ -227,10 +229,10 @@
 
 #[test]
 fn a_route_takes_no_more_calls_than_its_bound() {
-    let limit = RouteLimit::new();
+    let limit = RouteLimiter::new();
     let route = "portal".parse().expect("a name");
-    let first = limit.enter(&route, Some(1)).expect("room");
-    assert!(limit.enter(&route, Some(1)).is_none());
+    let first = limit.try_acquire(&route, Some(1)).expect("room");
+    assert!(limit.try_acquire(&route, Some(1)).is_none());
     drop(first);
-    assert!(limit.enter(&route, Some(1)).is_some());
+    assert!(limit.try_acquire(&route, Some(1)).is_some());
 }
--- a/tests/integration/target_lives.rs
+++ b/tests/integration/target_lives.rs
@@ -9,7 +9,7 @@
 use wisteriaturn::config::validate::Rejection;
 use wisteriaturn::gate::announce::{AnnounceBook, LIFE_LIMIT, TargetStatement};
 use wisteriaturn::ids::{ConfigVersion, Incarnation, InstanceId, Percent, Sequence, SlotCount};
-use wisteriaturn::member::record::DEPARTURE_LIMIT;
+use wisteriaturn::member::record::MAX_DEPARTURES;
 
 fn instance(name: &str) -> InstanceId {
     name.parse().expect("a name")
@@ -95,7 +95,7 @@
         .iter()
         .map(|departure| departure.incarnation.0)
         .collect();
-    assert_eq!(born.len(), DEPARTURE_LIMIT);
+    assert_eq!(born.len(), MAX_DEPARTURES);
     assert_eq!(born, [9, 8, 7, 6]);
 }
 
--- a/wisteriaturnd/src/admin/view.rs
+++ b/wisteriaturnd/src/admin/view.rs
@@ -15,7 +15,7 @@
 use wisteriaturn::config::resource::ResourceKey;
 use wisteriaturn::config::view::RouteEntry;
 use wisteriaturn::ids::{ConfigVersion, DataCentre, NodeAddress};
-use wisteriaturn::peer::message::{HeldReport, PeerAnswer, PeerRequest};
+use wisteriaturn::peer::message::{HolderReport, PeerAnswer, PeerRequest};
 use wisteriaturn::route::choose::choose_target;
 
 use crate::admin::change::find_report;
@@ -131,7 +131,7 @@
             .map(|target| {
                 let ejected = node
                     .load
-                    .with(name, |load| load.get(target).is_ejected(now));
+                    .with_service(name, |load| load.get(target).is_ejected(now));
                 json!({
                     "node": target.node,
                     "region": target.region,
@@ -175,7 +175,7 @@
                 node.clock.now(),
                 &mut rand::rng(),
             );
-            json!({ "service": name, "weight": weight, "reach": load.reach,
+            json!({ "service": name, "weight": weight, "reach": load.max_distance,
                 "candidates": choice.candidates })
         })
         .collect();
@@ -223,7 +223,7 @@
     json_reply(StatusCode::OK, &report)
 }
 
-fn reached(report: HeldReport) -> PlaceReport {
+fn reached(report: HolderReport) -> PlaceReport {
     PlaceReport {
         data_centre: report.data_centre,
         reached: true,
@@ -241,7 +241,7 @@
     for relay in relays {
         let request = PeerRequest::Holders { version };
         let asked = peer_client::request(node, relay, &request, TrafficKind::Convergence);
-        if let Ok(Ok(PeerAnswer::Held(report))) = timeout(HOLDERS_TIME, asked).await {
+        if let Ok(Ok(PeerAnswer::Holders(report))) = timeout(HOLDERS_TIME, asked).await {
             return reached(report);
         }
     }
--- a/wisteriaturnd/src/claims/desk.rs
+++ b/wisteriaturnd/src/claims/desk.rs
@@ -14,7 +14,7 @@
     BATCH_LIMIT, CLAIM_STREAMS, ClaimDemand, ClaimHolder, ClaimItem, ClaimVerdict, stream_of,
 };
 use wisteriaturn::ids::{CallId, KeyHash, NodeAddress};
-use wisteriaturn::member::relay::keeper;
+use wisteriaturn::member::role::keeper;
 use wisteriaturn::peer::message::{PeerAnswer, PeerRequest};
 
 use crate::mesh::peer_client::PeerLink;
--- a/wisteriaturnd/src/control/documents.rs
+++ b/wisteriaturnd/src/control/documents.rs
@@ -16,7 +16,9 @@
 use wisteriaturn::config::document::{ConfigDocument, DocumentBatch, DocumentPort};
 use wisteriaturn::error::LogError;
 use wisteriaturn::ids::{ConfigVersion, Offset};
-use wisteriaturn::member::source::{SIGN_TIME, SILENCE_TIME, cell_of, readers};
+use wisteriaturn::member::reader::{
+    READER_HEARTBEAT_INTERVAL, READER_TIMEOUT, members_read_by, readers,
+};
 use wisteriaturn::peer::message::Datagram;
 
 use crate::jitter::jittered;
@@ -181,13 +183,13 @@
 fn hears_reader(node: &NodeHandle) -> bool {
     let now = node.clock.now();
     let heard = *lock(&node.source.reader_heard);
-    heard.is_some_and(|heard| now.saturating_duration_since(heard) < SILENCE_TIME)
+    heard.is_some_and(|heard| now.saturating_duration_since(heard) < READER_TIMEOUT)
 }
 
 /// Gives signs of life to the members that this node reads for.
 pub async fn sign_task(node: NodeHandle) {
     loop {
-        tokio::time::sleep(SIGN_TIME).await;
+        tokio::time::sleep(READER_HEARTBEAT_INTERVAL).await;
         give_sign(&node).await;
     }
 }
@@ -201,14 +203,14 @@
     }
     let cell = {
         let table = lock(&node.table);
-        cell_of(&table, &node.settings.data_centre, node.address())
+        members_read_by(&table, &node.settings.data_centre, node.address())
     };
     let version = lock(&node.store).version();
     let Some(position) = known_position(node) else {
         return;
     };
     for member in cell {
-        let sign = Datagram::SourceAlive { version, position };
+        let sign = Datagram::ReaderHeartbeat { version, position };
         gossip::send(node, member, &sign, TrafficKind::Push).await;
     }
 }
--- a/wisteriaturnd/src/control/follow.rs
+++ b/wisteriaturnd/src/control/follow.rs
@@ -8,7 +8,7 @@
 use wisteriaturn::error::LogError;
 use wisteriaturn::ids::{ConfigVersion, Offset};
 use wisteriaturn::log_port::ReadRequest;
-use wisteriaturn::member::relay::snapshot_writer;
+use wisteriaturn::member::role::snapshot_writer;
 
 use crate::control::store::StoreStep;
 use crate::mesh::gossip;
--- a/wisteriaturnd/src/control/source.rs
+++ b/wisteriaturnd/src/control/source.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use wisteriaturn::clock::lock;
 use wisteriaturn::ids::{ConfigVersion, Offset};
-use wisteriaturn::member::pull::PullMark;
+use wisteriaturn::member::pull::PullLease;
 
 /// Time after which a version that peers hold is overdue: a pause between two
 /// reads and a read.
@@ -28,7 +28,7 @@
     /// was in force then, and where reading goes on.
     pub mark: Mutex<Option<(ConfigVersion, Offset)>>,
     /// The pull of the configuration that is under way.
-    pub pulling: Mutex<PullMark>,
+    pub pulling: Mutex<PullLease>,
     awaited: Mutex<Option<(ConfigVersion, Instant)>>,
 }
 
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -112,7 +112,10 @@
 /// Returns how long a call is expected to hold its slot: as long as those of its
 /// route, or as any if there was none yet.
 fn expected_run(node: &NodeHandle, call: &GateCall, target: &LocalTarget) -> Duration {
-    let of_route = call.route.as_ref().and_then(|route| node.runs.held(route));
+    let of_route = call
+        .route
+        .as_ref()
+        .and_then(|route| node.runs.measured(route));
     of_route.map_or_else(|| target.gate.load().mean_run, |held| held.run)
 }
 
@@ -120,7 +123,7 @@
 pub(crate) fn note_run(node: &NodeHandle, call: &GateCall, started: Instant) {
     if let Some(route) = &call.route {
         let took = node.clock.now().saturating_duration_since(started);
-        node.runs.note(route, 0, took);
+        node.runs.record(route, 0, took);
     }
 }
 
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -53,7 +53,7 @@
         let load = target.gate.load();
         let map = response.headers_mut();
         headers::set(map, headers::BUSY, load.busy + load.waiting);
-        if let Some(held) = route.and_then(|route| node.runs.held(&route)) {
+        if let Some(held) = route.and_then(|route| node.runs.measured(&route)) {
             headers::set(map, headers::MEAN_RUN_US, held.run.as_micros());
         }
         headers::set(map, headers::ROOM_MS, load.room_after().as_millis());
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -14,7 +14,7 @@
 use wisteriaturn::gate::announce::TargetStatement;
 use wisteriaturn::gate::slots::SlotGate;
 use wisteriaturn::ids::{Incarnation, InstanceId, Sequence, ServiceName, SlotCount};
-use wisteriaturn::member::record::{TARGET_LIMIT, TargetDeparture, TargetRecord, TargetState};
+use wisteriaturn::member::record::{MAX_TARGETS, TargetDeparture, TargetRecord, TargetState};
 
 use crate::mesh::news;
 use crate::node::{NodeHandle, NodeStage, NodeState};
@@ -93,7 +93,7 @@
                 )
             }
             AnnounceError::Stale => write!(f, "a later announcement was taken before"),
-            AnnounceError::Full => write!(f, "a node vouches for at most {TARGET_LIMIT} targets"),
+            AnnounceError::Full => write!(f, "a node vouches for at most {MAX_TARGETS} targets"),
         }
     }
 }
@@ -240,7 +240,7 @@
         }
         is_kept
     });
-    if targets.len() >= TARGET_LIMIT && !targets.contains_key(&announcement.service) {
+    if targets.len() >= MAX_TARGETS && !targets.contains_key(&announcement.service) {
         return Err(AnnounceError::Full);
     }
     let target = Arc::new(LocalTarget {
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -238,7 +238,8 @@
     *request.headers_mut() = call.parts.headers.clone();
     let service = &call.service.spec.name;
     let started = node.clock.now();
-    node.load.with(service, |load| load.begin(target));
+    node.load
+        .with_service(service, |load| load.start_attempt(target));
     let mut guard = AttemptGuard {
         node: node.clone(),
         target: target.clone(),
@@ -401,16 +402,16 @@
     let took = now.duration_since(started);
     if result == AttemptResult::Answered {
         let bytes = end.response.body().size_hint().lower();
-        node.sizes.note(&call.route.spec.name, bytes, took);
+        node.sizes.record(&call.route.spec.name, bytes, took);
     }
-    let ejected = node.load.with(service, |load| {
+    let ejected = node.load.with_service(service, |load| {
         if let Some(busy) = end.report.busy {
-            load.note_report(target.node, busy, now);
+            load.record_load(target.node, busy, now);
         }
         if let Some(mean_run) = end.report.mean_run {
-            load.note_speed(target.node, &call.route.spec.name, mean_run, now);
+            load.record_run_time(target.node, &call.route.spec.name, mean_run, now);
         }
-        load.note_result(target, result, took, &call.service.policy, all, now)
+        load.record_result(target, result, took, &call.service.policy, all, now)
     });
     if let Some(time) = ejected {
         node.metrics.ejections.inc();
@@ -442,7 +443,7 @@
         let service = &self.call.service;
         self.node
             .load
-            .with(service, |load| load.leave(self.target.node));
+            .with_service(service, |load| load.finish_attempt(self.target.node));
         if self.is_answered || self.call.is_idempotent {
             return;
         }
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -182,7 +182,7 @@
     let most = route.spec.max_concurrent;
     let permit = node
         .limits
-        .enter(&route.spec.name, most)
+        .try_acquire(&route.spec.name, most)
         .ok_or(RefusalReason::RouteLimit)?;
     let asked = headers::deadline(request.headers(), &node.edge.deadline_ms);
     let deadline = CallDeadline::of_call(&node.clock, route.spec.deadline(), asked);
--- a/wisteriaturnd/src/ingress/placing.rs
+++ b/wisteriaturnd/src/ingress/placing.rs
@@ -6,7 +6,7 @@
 use wisteriaturn::config::view::TargetEntry;
 use wisteriaturn::ids::NodeAddress;
 use wisteriaturn::route::choose::{TargetChoice, choose_target};
-use wisteriaturn::route::place::{CallDemand, PlacedCall, place_call};
+use wisteriaturn::route::cost::{CallRequirements, PlacementRequest, choose_cheapest_target};
 
 use crate::ingress::attempt::RoutedCall;
 use crate::node::NodeHandle;
@@ -72,18 +72,18 @@
     };
     let now = node.clock.now();
     let demand = demand(node, call, now);
-    let choice = node.load.with(service, |load| {
+    let choice = node.load.with_service(service, |load| {
         let policy = &call.service.policy;
         let mut rng = rand::rng();
         match &demand {
             Some(demand) => {
                 let route = &call.route.spec.name;
-                let calls = PlacedCall {
+                let calls = PlacementRequest {
                     route,
                     demand,
                     tried,
                 };
-                place_call(&node.place, &targets, policy, load, calls, now, &mut rng)
+                choose_cheapest_target(&node.place, &targets, policy, load, calls, now, &mut rng)
             }
             None => choose_target(&node.place, &targets, policy, load, tried, now, &mut rng),
         }
@@ -98,10 +98,10 @@
 
 /// Returns what the call asks of its place, where its route says within which
 /// time an answer is worth most.
-fn demand(node: &NodeHandle, call: &RoutedCall, now: Instant) -> Option<CallDemand> {
+fn demand(node: &NodeHandle, call: &RoutedCall, now: Instant) -> Option<CallRequirements> {
     call.route.spec.target_latency_ms?;
-    let expected = node.sizes.expect(&call.route.spec.name);
-    Some(CallDemand {
+    let expected = node.sizes.estimate(&call.route.spec.name);
+    Some(CallRequirements {
         aim: call.aim.remaining(now),
         deadline: call.deadline.remaining(now),
         answer_bytes: expected.bytes,
--- a/wisteriaturnd/src/mesh/directory.rs
+++ b/wisteriaturnd/src/mesh/directory.rs
@@ -11,7 +11,7 @@
 use wisteriaturn::ids::NodeAddress;
 use wisteriaturn::member::directory::DirectoryPort;
 use wisteriaturn::member::record::MemberRecord;
-use wisteriaturn::member::relay::snapshot_writer;
+use wisteriaturn::member::role::snapshot_writer;
 
 use crate::jitter::jittered;
 use crate::mesh::peer_client::merge_records;
@@ -81,7 +81,8 @@
             .iter()
             .filter_map(|record| table.get(record.address))
             .filter(|entry| {
-                !entry.record.is_live() && now.saturating_duration_since(entry.changed) >= GONE_TIME
+                !entry.record.is_live()
+                    && now.saturating_duration_since(entry.updated_at) >= GONE_TIME
             })
             .map(|entry| entry.record.address)
             .collect()
--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -14,7 +14,7 @@
 use wisteriaturn::member::rumor::Rumor;
 use wisteriaturn::peer::auth::TAG_LENGTH;
 use wisteriaturn::peer::message::{
-    DATAGRAM_LIMIT, Datagram, NodeStatus, RUMOR_BUDGET, decode, encode,
+    Datagram, MAX_DATAGRAM_BYTES, MAX_RUMOR_BYTES, NodeStatus, decode, encode,
 };
 
 use crate::control::documents;
@@ -29,7 +29,7 @@
 const HEADER_BYTES: usize = 28;
 
 /// Largest record that goes along in a datagram.
-const INLINE_LIMIT: usize = DATAGRAM_LIMIT - TAG_LENGTH - 32;
+const INLINE_LIMIT: usize = MAX_DATAGRAM_BYTES - TAG_LENGTH - 32;
 
 /// Sends a datagram; a loss is found by the next probe.
 pub async fn send(node: &NodeState, to: SocketAddr, datagram: &Datagram, kind: TrafficKind) {
@@ -37,7 +37,7 @@
         return;
     };
     let sealed = node.settings.keys.seal(message);
-    if sealed.len() > DATAGRAM_LIMIT {
+    if sealed.len() > MAX_DATAGRAM_BYTES {
         node.metrics.note_drop("datagram-too-large");
         return;
     }
@@ -52,7 +52,7 @@
     let datagram = Datagram::Ping {
         nonce,
         status: node.status(),
-        rumors: lock(&node.rumors).take(RUMOR_BUDGET),
+        rumors: lock(&node.rumors).take(MAX_RUMOR_BYTES),
     };
     send(node, to, &datagram, TrafficKind::Probe).await;
     wait_ack(node, nonce, receiver, wait).await
@@ -71,7 +71,7 @@
         send(
             node,
             *helper,
-            &Datagram::PingFor { nonce, target },
+            &Datagram::IndirectPing { nonce, target },
             TrafficKind::Probe,
         )
         .await;
@@ -104,7 +104,7 @@
 
 /// Receives datagrams for as long as the node runs.
 pub async fn receive_task(node: NodeHandle) {
-    let mut buffer = vec![0; DATAGRAM_LIMIT + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let (length, from) = match node.udp.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -114,7 +114,7 @@
                 continue;
             }
         };
-        if length > DATAGRAM_LIMIT {
+        if length > MAX_DATAGRAM_BYTES {
             node.metrics.note_drop("datagram-too-large");
             continue;
         }
@@ -139,7 +139,7 @@
         } => {
             note_status(node, from, status);
             news::learn_all(node, from, rumors, false).await;
-            let mut rumors = lock(&node.rumors).take(RUMOR_BUDGET);
+            let mut rumors = lock(&node.rumors).take(MAX_RUMOR_BYTES);
             rumors.extend(standing_of(node, from));
             let answer = Datagram::Ack {
                 nonce,
@@ -157,17 +157,17 @@
             note_status(node, from, status);
             news::learn_all(node, from, rumors, false).await;
         }
-        Datagram::PingFor { nonce, target } => {
+        Datagram::IndirectPing { nonce, target } => {
             tokio::spawn(ping_for(node.clone(), from, nonce, target));
         }
-        Datagram::AckFor { nonce } => answer_pending(node, nonce, node.status()),
+        Datagram::IndirectAck { nonce } => answer_pending(node, nonce, node.status()),
         Datagram::Record { version, record } => {
             receive_record(node, from, version, record).await;
         }
-        Datagram::SourceAlive { version, position } => {
+        Datagram::ReaderHeartbeat { version, position } => {
             documents::note_sign(node, from, version, position);
         }
-        Datagram::News { rumors } => news::learn_all(node, from, rumors, true).await,
+        Datagram::Rumors { rumors } => news::learn_all(node, from, rumors, true).await,
     }
 }
 
@@ -180,7 +180,7 @@
         send(
             &node,
             asker,
-            &Datagram::AckFor { nonce },
+            &Datagram::IndirectAck { nonce },
             TrafficKind::Probe,
         )
         .await;
@@ -196,7 +196,7 @@
 
 /// Compares the state of another node with the own one.
 fn note_status(node: &NodeHandle, from: SocketAddr, status: NodeStatus) {
-    lock(&node.table).note_held(from, status.version);
+    lock(&node.table).record_held_version(from, status.version);
     let own = node.status();
     if status.version > own.version && node.is_pull_due(status.version) {
         peer_client::spawn_pull(node, from);
@@ -263,7 +263,7 @@
         for service in view.config.services.keys() {
             let targets = view.targets(service);
             node.load
-                .with(service, |load| load.retain_targets(&targets));
+                .with_service(service, |load| load.retain_targets(&targets));
         }
         let live = {
             let table = lock(&node.table);
--- a/wisteriaturnd/src/mesh/news.rs
+++ b/wisteriaturnd/src/mesh/news.rs
@@ -10,7 +10,7 @@
 use wisteriaturn::clock::lock;
 use wisteriaturn::ids::{DataCentre, NodeAddress};
 use wisteriaturn::member::record::MemberRecord;
-use wisteriaturn::member::relay::relays;
+use wisteriaturn::member::role::relays;
 use wisteriaturn::member::rumor::Rumor;
 use wisteriaturn::member::table::MergeOutcome;
 use wisteriaturn::peer::message::Datagram;
@@ -50,7 +50,7 @@
         Rumor::Member(record) => {
             let outcome = lock(&node.table).merge(record, now);
             match outcome {
-                MergeOutcome::Taken => true,
+                MergeOutcome::Applied => true,
                 MergeOutcome::Refuted => {
                     let own = lock(&node.table).own().clone();
                     log::info!(event = "refuted", sequence:% = own.sequence; "member");
@@ -92,7 +92,7 @@
     // A member record with its targets stays far below a datagram, and pushes
     // rarely hold more than one, so one rumor a datagram keeps this simple.
     for rumor in news {
-        let datagram = Datagram::News {
+        let datagram = Datagram::Rumors {
             rumors: vec![rumor.clone()],
         };
         send(node, to, &datagram, TrafficKind::Push).await;
--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -14,7 +14,7 @@
 use wisteriaturn::ids::{ConfigVersion, NodeAddress};
 use wisteriaturn::member::record::MemberRecord;
 use wisteriaturn::peer::frame::{decode_frame, encode_frame};
-use wisteriaturn::peer::message::{FRAME_LIMIT, PeerAnswer, PeerRequest};
+use wisteriaturn::peer::message::{MAX_FRAME_BYTES, PeerAnswer, PeerRequest};
 
 use crate::control::store::StoreStep;
 use crate::error::LinkError;
@@ -42,7 +42,7 @@
 /// memory is taken for it.
 pub fn framing() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_LIMIT)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
@@ -118,7 +118,7 @@
 
 /// Pulls the configuration from a peer unless a pull has just begun.
 pub fn spawn_pull(node: &NodeHandle, peer: NodeAddress) {
-    let Some(began) = lock(&node.source.pulling).begin(node.clock.now()) else {
+    let Some(began) = lock(&node.source.pulling).try_start(node.clock.now()) else {
         return;
     };
     let node = node.clone();
@@ -126,7 +126,7 @@
         if let Err(error) = pull(&node, peer).await {
             log::debug!(event = "pull-failed", peer:% = peer, error:% = error; "config");
         }
-        lock(&node.source.pulling).end(began);
+        lock(&node.source.pulling).finish(began);
     });
 }
 
@@ -237,7 +237,7 @@
     let answer = link
         .ask(node, &PeerRequest::Compare { digests }, kind)
         .await?;
-    let PeerAnswer::Differ(data_centres) = answer else {
+    let PeerAnswer::Differing(data_centres) = answer else {
         return Ok(());
     };
     if data_centres.is_empty() {
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -14,7 +14,7 @@
 use wisteriaturn::member::record::MemberRecord;
 use wisteriaturn::member::rumor::Rumor;
 use wisteriaturn::peer::frame::{decode_frame, encode_frame};
-use wisteriaturn::peer::message::{HeldReport, PeerAnswer, PeerRequest, RECORDS_LIMIT};
+use wisteriaturn::peer::message::{HolderReport, MAX_RECORDS_BYTES, PeerAnswer, PeerRequest};
 
 use crate::error::LinkError;
 use crate::mesh::gossip;
@@ -118,13 +118,13 @@
             Ok(_permit) => join(node, record, &digests).await,
             Err(_) => PeerAnswer::Busy,
         },
-        PeerRequest::Compare { digests } => PeerAnswer::Differ(differing(node, &digests)),
+        PeerRequest::Compare { digests } => PeerAnswer::Differing(differing(node, &digests)),
         PeerRequest::Exchange {
             data_centres,
             records,
         } => exchange(node, &data_centres, records),
         PeerRequest::Pull { version } => pull(node, version, transfers),
-        PeerRequest::Holders { version } => PeerAnswer::Held(holders(node, version).await),
+        PeerRequest::Holders { version } => PeerAnswer::Holders(holders(node, version).await),
         PeerRequest::Claim(demand) => PeerAnswer::Claimed(node.keeper.demand(node, demand).await),
         PeerRequest::Inquire { hop, call, life } => {
             PeerAnswer::Inquired(hop::revoke_for_peer(node, hop, call, life).await)
@@ -154,7 +154,13 @@
     let joiner = record.address;
     let (seen_version, seen_incarnation, departures) = lock(&node.table)
         .get(joiner)
-        .map(|seen| (seen.held, seen.record.incarnation, seen.departures.clone()))
+        .map(|seen| {
+            (
+                seen.held_version,
+                seen.record.incarnation,
+                seen.departures.clone(),
+            )
+        })
         .unwrap_or_default();
     // A restarted node with a lower incarnation joins again with a higher one.
     // The record is taken before digests are compared, or the joiner's own data
@@ -198,7 +204,7 @@
 
 fn pull(node: &NodeHandle, version: ConfigVersion, transfers: &Semaphore) -> PeerAnswer {
     let mut store = lock(&node.store);
-    if let Some(records) = store.records_after(version, RECORDS_LIMIT) {
+    if let Some(records) = store.records_after(version, MAX_RECORDS_BYTES) {
         return PeerAnswer::Tail {
             first: ConfigVersion(version.0 + 1),
             records,
@@ -217,7 +223,7 @@
 }
 
 /// Asks every live member of this data centre whether it holds a version.
-pub async fn holders(node: &NodeHandle, version: ConfigVersion) -> HeldReport {
+pub async fn holders(node: &NodeHandle, version: ConfigVersion) -> HolderReport {
     let place = node.settings.data_centre.clone();
     let members: Vec<NodeAddress> = lock(&node.table)
         .live_in(&place)
@@ -228,7 +234,7 @@
         let node = node.clone();
         asked.spawn(async move { (member, holds(&node, member, version).await) });
     }
-    let mut report = HeldReport {
+    let mut report = HolderReport {
         data_centre: place,
         holders: 0,
         laggards: Vec::new(),
--- a/wisteriaturnd/src/mesh/prober.rs
+++ b/wisteriaturnd/src/mesh/prober.rs
@@ -76,7 +76,7 @@
         if !was_paused {
             bury_overdue(&node).await;
         }
-        lock(&node.table).forget_gone(node.clock.now());
+        lock(&node.table).remove_expired_tombstones(node.clock.now());
         node.hop_pool.sweep();
         node.target_pool.sweep();
     }
@@ -126,7 +126,7 @@
 
 /// Tells whether any of a few other members answers. A node that is cut off
 /// would otherwise suspect and bury its data centre one by one, and spread that
-/// when its link is back; the share of suspects (`looks_cut_off`) would be seen
+/// when its link is back; the share of suspects (`is_likely_cut_off`) would be seen
 /// only after most of them.
 async fn own_link_works(node: &NodeHandle, except: Option<NodeAddress>) -> bool {
     let mut peers = random_peers(&lock(&node.table), SELF_CHECK_PEERS + 1, &mut rand::rng());
@@ -205,7 +205,7 @@
     let timeout = node.settings.tuning.suspect_timeout;
     let overdue = {
         let table = lock(&node.table);
-        if table.looks_cut_off(place) {
+        if table.is_likely_cut_off(place) {
             // More likely this node's own link: keep routing by what is seen.
             return;
         }
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -24,17 +24,17 @@
 };
 use wisteriaturn::log_port::LogPort;
 use wisteriaturn::member::directory::DirectoryPort;
-use wisteriaturn::member::isolation::LinkStanding;
+use wisteriaturn::member::isolation::LinkMonitor;
 use wisteriaturn::member::record::{MemberRecord, MemberState};
-use wisteriaturn::member::relay::relays;
+use wisteriaturn::member::role::relays;
 use wisteriaturn::member::rumor::RumorQueue;
 use wisteriaturn::member::table::MemberTable;
 use wisteriaturn::peer::message::NodeStatus;
 use wisteriaturn::retry::budget::RetryBudget;
-use wisteriaturn::route::choose::NodePlace;
-use wisteriaturn::route::limit::RouteLimit;
-use wisteriaturn::route::load::LoadBook;
-use wisteriaturn::route::size::SizeBook;
+use wisteriaturn::route::choose::NodeLocation;
+use wisteriaturn::route::estimate::AnswerEstimator;
+use wisteriaturn::route::limit::RouteLimiter;
+use wisteriaturn::route::load::LoadTracker;
 
 use crate::claims::desk::ClaimDesk;
 use crate::claims::keeper::ClaimKeeper;
@@ -75,7 +75,7 @@
     /// This run of the process.
     pub life: BootId,
     /// Where the node stands.
-    pub place: NodePlace,
+    pub place: NodeLocation,
     /// The view in force.
     pub view: ViewCell,
     /// The folded configuration.
@@ -89,9 +89,9 @@
     /// Metrics.
     pub metrics: NodeMetrics,
     /// What was seen of each target.
-    pub load: LoadBook,
+    pub load: LoadTracker,
     /// Calls under way on each route.
-    pub limits: RouteLimit,
+    pub limits: RouteLimiter,
     /// Calls given to this gate.
     pub ledger: CallLedger,
     /// Targets beside this node.
@@ -111,9 +111,9 @@
     /// What the targets on this VM said of themselves.
     pub announces: Mutex<AnnounceBook>,
     /// Size of the answers of each route.
-    pub sizes: SizeBook,
+    pub sizes: AnswerEstimator,
     /// Time that the targets on this VM take for calls of each route.
-    pub runs: SizeBook,
+    pub runs: AnswerEstimator,
     /// Claims that this gate asks for.
     pub claims: ClaimDesk,
     /// Claim streams that this node writes.
@@ -138,7 +138,7 @@
     /// Whether a comparison of members is under way.
     pub is_comparing: AtomicBool,
     /// When this node last heard another.
-    pub link: Mutex<LinkStanding>,
+    pub link: Mutex<LinkMonitor>,
     /// When the gate closes, once the node is about to stop.
     pub gate_closes: Mutex<Option<Instant>>,
     /// Number of losses of a target at this gate.
@@ -264,7 +264,7 @@
             targets: Vec::new(),
             departures: Vec::new(),
         };
-        let place = NodePlace {
+        let place = NodeLocation {
             region: settings.region.clone(),
             data_centre: settings.data_centre.clone(),
         };
@@ -279,8 +279,8 @@
             rumors: Mutex::new(RumorQueue::new()),
             suspects: Mutex::new(SuspectTable::new()),
             metrics: NodeMetrics::new(),
-            load: LoadBook::new(),
-            limits: RouteLimit::new(),
+            load: LoadTracker::new(),
+            limits: RouteLimiter::new(),
             ledger: CallLedger::new(Arc::clone(&clock)),
             targets: LocalTargets::new(),
             hop_pool: LinkPool::to_nodes(
@@ -294,8 +294,8 @@
             directory: self.directory,
             edge: self.edge,
             announces: Mutex::new(AnnounceBook::new()),
-            sizes: SizeBook::new(),
-            runs: SizeBook::new(),
+            sizes: AnswerEstimator::new(),
+            runs: AnswerEstimator::new(),
             claims,
             keeper,
             udp,
@@ -307,7 +307,7 @@
             members_changed: Notify::new(),
             was_ready: AtomicBool::new(false),
             is_comparing: AtomicBool::new(false),
-            link: Mutex::new(LinkStanding::new(clock.now())),
+            link: Mutex::new(LinkMonitor::new(clock.now())),
             gate_closes: Mutex::default(),
             losses: AtomicU64::new(0),
             budgets: Mutex::default(),
@@ -334,7 +334,7 @@
 
     /// Notes a sign of life of another node.
     pub fn note_heard(&self) {
-        lock(&self.link).note_heard(self.clock.now());
+        lock(&self.link).record_contact(self.clock.now());
     }
 
     /// Tells whether this node is cut off from all others.
