--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,22 +1,22 @@
-//! The clock as an interface.
+//! Clock abstraction that lets tests control the time.
 //!
-//! Decisions never call `Instant::now` themselves: a test that wants to see
-//! what happens after a minute would have to wait a minute. They take a
-//! [`SharedClock`] and use the standard time types.
+//! Decision logic never calls `Instant::now` itself, since a test of what
+//! happens after a minute would then take a minute. It takes a [`SharedClock`]
+//! and uses the standard time types.
 
 use std::fmt::Debug;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Tells the time.
+/// A source of monotonic and wall-clock time.
 pub trait Clock: Debug + Send + Sync {
-    /// Returns a point on a clock that never goes back.
+    /// Returns the current monotonic time.
     fn now(&self) -> Instant;
 
-    /// Returns the wall time, which may jump either way.
+    /// Returns the current wall-clock time, which can jump in either direction.
     fn wall_time(&self) -> SystemTime;
 
-    /// Returns the wall time in milliseconds since the Unix epoch.
+    /// Returns the wall-clock time in milliseconds since the Unix epoch.
     fn unix_millis(&self) -> u64 {
         let elapsed = self
             .wall_time()
@@ -26,10 +26,10 @@
     }
 }
 
-/// A clock that is shared between tasks.
+/// A clock shared between tasks.
 pub type SharedClock = Arc<dyn Clock>;
 
-/// The clock of the operating system.
+/// The operating system's clock.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SystemClock;
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// A clock that moves only when it is told to.
+/// A clock for tests that moves only when [`ManualClock::advance`] is called.
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -51,7 +51,7 @@
 }
 
 impl ManualClock {
-    /// Returns a clock that stands still.
+    /// Returns a stopped clock.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             start: Instant::now(),
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Moves the clock forward.
+    /// Moves the clock forward by `step`.
     pub fn advance(&self, step: Duration) {
         *lock(&self.elapsed) += step;
     }
@@ -71,15 +71,15 @@
     }
 
     fn wall_time(&self) -> SystemTime {
-        // An arbitrary fixed date: a test must not depend on the day it runs.
+        // An arbitrary fixed date, so that no test depends on the day it runs.
         UNIX_EPOCH + Duration::from_secs(1_700_000_000) + *lock(&self.elapsed)
     }
 }
 
-/// Locks a mutex and goes on when an earlier holder panicked.
+/// Locks a mutex, ignoring poisoning.
 ///
-/// Every critical section in this crate leaves its data whole at each step,
-/// so the data behind a poisoned mutex is still usable.
+/// Every critical section in this crate leaves its data consistent at each
+/// step, so the data is still usable after a lock holder has panicked.
 pub fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex
         .lock()
--- a/src/config/view.rs
+++ b/src/config/view.rs
@@ -329,7 +329,7 @@
         });
         if held.config.version > view.config.version {
             return Err(ViewError::Older {
-                held: held.config.version,
+                current: held.config.version,
                 offered: view.config.version,
             });
         }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,30 +1,30 @@
-//! The errors of this crate.
+//! Error types.
 //!
-//! Each layer has its own error type and turns those of the layer below into
-//! its own; a caller never has to know which library failed.
+//! Each layer has its own error type and converts the errors of the layer
+//! below into it, so that callers don't depend on the libraries used.
 
 use std::fmt;
 
 use crate::ids::{ConfigVersion, Offset};
 
-/// Says why a name was refused.
+/// The reason why a name is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum NameError {
-    /// The name has no characters.
+    /// The name is empty.
     Empty,
-    /// The name has more bytes than are allowed.
+    /// The name is too long.
     TooLong {
         /// Length in bytes.
         length: usize,
-        /// Allowed length in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// The name holds a byte that its kind does not allow.
+    /// The name contains a byte that is not allowed in this kind of name.
     InvalidByte {
-        /// The byte.
+        /// The first such byte.
         byte: u8,
-        /// Which bytes are allowed.
+        /// Description of the allowed bytes.
         allowed: &'static str,
     },
 }
@@ -39,7 +39,7 @@
             NameError::InvalidByte { byte, allowed } => {
                 write!(
                     f,
-                    "has the byte {:?}, allowed are {allowed}",
+                    "contains the byte {:?}, allowed are {allowed}",
                     char::from(*byte)
                 )
             }
@@ -49,22 +49,23 @@
 
 impl std::error::Error for NameError {}
 
-/// Says why bytes from the log or a peer could not be decoded.
+/// An error in encoding or decoding a message of the log or of a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum CodecError {
-    /// The bytes are longer than this kind of message may be.
+    /// The message exceeds the maximum size of its kind.
     TooLarge {
         /// Length in bytes.
         length: usize,
-        /// Allowed length in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// The bytes are in a format that this version does not read.
+    /// The message has a format number that this version does not support.
     UnknownFormat(u8),
-    /// The bytes are truncated, have a tail or hold an impossible value.
+    /// The message is truncated, has trailing bytes or contains an invalid
+    /// value.
     Malformed,
-    /// The authentication tag is missing or was made with another key.
+    /// The authentication tag is missing or was computed with another key.
     Unauthenticated,
 }
 
@@ -74,57 +75,59 @@
             CodecError::TooLarge { length, limit } => {
                 write!(f, "message of {length} bytes, at most {limit} are allowed")
             }
-            CodecError::UnknownFormat(format) => write!(f, "unknown format number {format}"),
+            CodecError::UnknownFormat(format) => write!(f, "unsupported format number {format}"),
             CodecError::Malformed => f.write_str("malformed message"),
-            CodecError::Unauthenticated => f.write_str("message without a valid tag"),
+            CodecError::Unauthenticated => f.write_str("authentication tag is missing or invalid"),
         }
     }
 }
 
 impl std::error::Error for CodecError {}
 
-/// Says why a view could not be put in force.
+/// The reason why a view could not be built or installed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ViewError {
-    /// The view is older than the one in force.
+    /// The view is older than the current one.
     Older {
-        /// Version in force.
-        held: ConfigVersion,
-        /// Version offered.
+        /// Version of the current view.
+        current: ConfigVersion,
+        /// Version of the rejected view.
         offered: ConfigVersion,
     },
-    /// The view names something that it does not hold.
+    /// The view refers to a resource that it does not contain.
     DanglingReference(String),
 }
 
 impl fmt::Display for ViewError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ViewError::Older { held, offered } => {
+            ViewError::Older { current, offered } => {
                 write!(
                     f,
-                    "version {offered} is older than {held}, which is in force"
+                    "version {offered} is older than the current version {current}"
                 )
             }
-            ViewError::DanglingReference(what) => write!(f, "the view does not hold {what}"),
+            ViewError::DanglingReference(what) => {
+                write!(f, "the view does not contain {what}, which it refers to")
+            }
         }
     }
 }
 
 impl std::error::Error for ViewError {}
 
-/// Says why the platform's log did not answer as asked.
+/// The reason why an operation on the platform's log failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum LogError {
-    /// The log refused before it took the record, so nothing was written.
+    /// The operation was refused before it took effect, so nothing was written.
     Refused(String),
-    /// No answer came; an append may or may not have taken effect.
+    /// No valid response arrived; an append may or may not have taken effect.
     Indeterminate(String),
-    /// The records asked for are no longer kept.
+    /// The requested records have been trimmed.
     Trimmed {
-        /// First offset still kept.
+        /// First offset that is still retained.
         first: Offset,
     },
 }
@@ -132,9 +135,12 @@
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LogError::Refused(why) => write!(f, "the log refused: {why}"),
-            LogError::Indeterminate(why) => write!(f, "the log's answer was lost: {why}"),
-            LogError::Trimmed { first } => write!(f, "the log keeps records from {first} on"),
+            LogError::Refused(why) => write!(f, "the log refused the operation: {why}"),
+            LogError::Indeterminate(why) => write!(f, "no valid response from the log: {why}"),
+            LogError::Trimmed { first } => write!(
+                f,
+                "records before offset {first} have been trimmed from the log"
+            ),
         }
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,54 +1,58 @@
 //! Newtypes for identifiers, versions and names.
 //!
-//! They keep an offset from being passed where a version is meant, and put
-//! the check of a name in one place: a value of a name type is always valid.
+//! Distinct types prevent an offset from being passed where a version is
+//! expected. A name is checked once, when its value is created, so a value of
+//! a name type is always valid.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::error::NameError;
 
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Longest path or host in bytes.
+/// Maximum length of a path or a host name in bytes.
 pub const MAX_PATH_BYTES: usize = 512;
 
-/// The address of a node's peer port, which is the node's identity: a VM that
-/// is replaced at the same address is the same member with a higher
+/// The address of a node's peer port, which identifies the node: a VM that is
+/// replaced at the same address is the same member with a higher
 /// [`Incarnation`].
 pub type NodeAddress = SocketAddr;
 
 number_type! {
-    /// The number of configuration records that were folded. Version 0 is the
-    /// empty configuration, version `n` includes the records at the offsets
-    /// below `n`.
+    /// The number of configuration records folded so far. Version 0 is the
+    /// empty configuration; version `n` includes the records at the offsets
+    /// below `n`. Where the source writes whole documents, it is the number
+    /// that the source gave the document.
     ConfigVersion(u64);
     /// The version at which a resource was last written.
     Revision(u64);
-    /// The position of a record in a stream of the log; the first is 0.
+    /// The position of a record in a stream of the log, starting at 0.
     Offset(u64);
-    /// Orders the lives of one node: start time in milliseconds since the
-    /// Unix epoch, raised past whatever peers remember of its address.
+    /// Orders the runs of the node at one address: the start time in
+    /// milliseconds since the Unix epoch, raised above any incarnation that
+    /// peers remember for the address.
     Incarnation(u64);
-    /// Tells one run of a node's process from another; chosen at random. A gate
-    /// remembers calls only for its own life.
+    /// Identifies one run of a node's process; chosen at random. A gate
+    /// remembers calls only until its process ends.
     BootId(u64);
-    /// Counts the statements that a node made about itself in one life.
+    /// Orders the records that a node publishes about itself within one run of
+    /// its process, or the announcements of a target within one run of that.
     Sequence(u64);
-    /// The number of calls that a target runs at once.
+    /// The number of calls that a target can run concurrently.
     SlotCount(u16);
-    /// The share of a whole in percent, 0 to 100.
+    /// A percentage, 0 to 100.
     Percent(u8);
-    /// The rank of a call among those that wait; 0 is served first.
+    /// The priority of a waiting call; 0 is served first.
     CallPriority(u8);
-    /// What a VM's link carries, in kbit/s; 0 when it is not known.
+    /// The bandwidth of a VM's network link in kbit/s; 0 when unknown.
     LinkRate(u32);
 }
 
 impl LinkRate {
-    /// Returns the time that the link takes for an amount of bytes; none where
-    /// its rate is not known.
+    /// Returns the time needed to transfer `bytes` over the link, or zero when
+    /// its bandwidth is unknown.
     pub fn transfer_time(self, bytes: f64) -> Duration {
         if self.0 == 0 {
             return Duration::ZERO;
@@ -58,13 +62,14 @@
 }
 
 hex_type! {
-    /// Names one change of the configuration; chosen at random by the writer.
+    /// Identifies one configuration change; chosen at random by the writer.
     ChangeId;
-    /// Names one attempt of one call at one gate.
+    /// Identifies one attempt of a call at one gate.
     CallId;
-    /// Stands for all requests that would do the same to a target.
+    /// A hash of a request as a target sees it: equal for requests that would
+    /// have the same effect.
     Fingerprint;
-    /// Stands for an idempotency key together with its service.
+    /// A hash of an idempotency key and its service.
     KeyHash;
 }
 
@@ -77,9 +82,9 @@
     DataCentre, check_name;
     /// The name of a region, which holds one or more data centres.
     RegionName, check_name;
-    /// The name that a target has for one of its lives.
+    /// The name that identifies one run of a target's process.
     InstanceId, check_name;
-    /// Who asked for a change.
+    /// The name of the author of a change.
     AuthorName, check_name;
     /// A host name that a route matches.
     HostName, check_host;
@@ -88,14 +93,15 @@
 }
 
 impl Fingerprint {
-    /// Derives the fingerprint of a request from what a target sees of it.
+    /// Returns the fingerprint of a request, given the parts of it that a
+    /// target sees.
     pub fn of_parts(parts: &[&[u8]]) -> Self {
         Self(hash_parts(parts))
     }
 }
 
 impl KeyHash {
-    /// Derives the hash under which an idempotency key of a service is claimed.
+    /// Returns the hash under which an idempotency key of a service is claimed.
     pub fn of_key(service: &ServiceName, key: &[u8]) -> Self {
         Self(hash_parts(&[service.as_str().as_bytes(), key]))
     }
@@ -104,13 +110,13 @@
 fn hash_parts(parts: &[&[u8]]) -> u128 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
-        // The length keeps ("ab", "c") apart from ("a", "bc").
+        // The length prefix distinguishes ("ab", "c") from ("a", "bc").
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
-    let mut head = [0; 16];
-    hasher.finalize_xof().fill(&mut head);
-    u128::from_be_bytes(head)
+    let mut digest = [0; 16];
+    hasher.finalize_xof().fill(&mut digest);
+    u128::from_be_bytes(digest)
 }
 
 fn check_length(raw: &[u8], limit: usize) -> Result<(), NameError> {
@@ -161,7 +167,7 @@
             allowed: "'/' at the start",
         });
     }
-    check_bytes(raw, "visible ASCII but '?' and '#'", |byte| {
+    check_bytes(raw, "visible ASCII except '?' and '#'", |byte| {
         byte.is_ascii_graphic() && !matches!(byte, b'?' | b'#')
     })
 }
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,31 +1,33 @@
-//! Counts broken invariants, and ends the process on one in strict mode.
+//! Runtime checks of invariants: violations are counted and, in strict mode,
+//! abort the process.
 //!
-//! The promises of the system are asserted where the fact is known. A plain
-//! `assert!` would take a whole node down for its callers; a log line alone
-//! would be overlooked. So a violation is counted for the operators' alarms,
-//! and tests run with strict mode on. See [docs/PROOFS.md](../docs/PROOFS.md).
+//! Each invariant is checked where the facts are known. A plain `assert!` would
+//! take a whole node down for its callers; a log line alone would be
+//! overlooked. So violations are counted in a metric that operators can alert
+//! on, and tests run in strict mode. See [docs/PROOFS.md](../docs/PROOFS.md).
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// The promises that the program checks on itself.
+/// An invariant that is checked at run time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Invariant {
-    /// A node's configuration version never falls.
+    /// A node's configuration version never decreases.
     VersionRises,
-    /// A view holds every service and target that it names.
+    /// A view contains every service that it refers to, and a list of targets
+    /// for each of its services.
     ViewComplete,
     /// Nodes at the same version hold the same configuration.
     SameFold,
-    /// A gate starts no call that it promised not to run.
+    /// A gate never starts a call that it has reported as not run.
     NotRunStays,
     /// A call that is not idempotent is sent to a target at most once.
     SentOnce,
-    /// A gate that leaves admits nothing.
+    /// A draining gate admits no calls.
     DrainedGate,
 }
 
-/// Every rule, in the order of its counter.
+/// All invariants, in the order in which they are declared and counted.
 pub const INVARIANTS: [Invariant; 6] = [
     Invariant::VersionRises,
     Invariant::ViewComplete,
@@ -35,11 +37,12 @@
     Invariant::DrainedGate,
 ];
 
-static COUNTS: [AtomicU64; INVARIANTS.len()] = [const { AtomicU64::new(0) }; INVARIANTS.len()];
-static STRICT: AtomicBool = AtomicBool::new(false);
+static VIOLATION_COUNTS: [AtomicU64; INVARIANTS.len()] =
+    [const { AtomicU64::new(0) }; INVARIANTS.len()];
+static IS_STRICT: AtomicBool = AtomicBool::new(false);
 
 impl Invariant {
-    /// Returns the name under which violations are counted.
+    /// Returns the name under which violations are counted in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::VersionRises => "version_rises",
@@ -52,19 +55,20 @@
     }
 }
 
-/// Makes every later violation end the process.
+/// Sets whether a violation aborts the process.
 pub fn set_strict(strict: bool) {
-    STRICT.store(strict, Ordering::Relaxed);
+    IS_STRICT.store(strict, Ordering::Relaxed);
 }
 
-/// Counts a violation of `rule` unless `holds`, and returns `holds`.
-pub fn check(rule: Invariant, holds: bool) -> bool {
+/// Counts a violation of `invariant` unless `holds` is `true`, and returns
+/// `holds`.
+pub fn check(invariant: Invariant, holds: bool) -> bool {
     if !holds {
-        COUNTS[rule as usize].fetch_add(1, Ordering::Relaxed);
-        if STRICT.load(Ordering::Relaxed) {
+        VIOLATION_COUNTS[invariant as usize].fetch_add(1, Ordering::Relaxed);
+        if IS_STRICT.load(Ordering::Relaxed) {
             eprintln!(
                 "level=ERROR message=\"invariant violated\" rule={}",
-                rule.name()
+                invariant.name()
             );
             std::process::abort();
         }
@@ -72,7 +76,7 @@
     holds
 }
 
-/// Returns how often `rule` was violated.
-pub fn violations(rule: Invariant) -> u64 {
-    COUNTS[rule as usize].load(Ordering::Relaxed)
+/// Returns how often `invariant` has been violated.
+pub fn violations(invariant: Invariant) -> u64 {
+    VIOLATION_COUNTS[invariant as usize].load(Ordering::Relaxed)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,19 @@
-//! The decisions of wisteriaturn, a configuration distribution system for a
-//! service mesh.
+//! The decision logic of wisteriaturn, a configuration distribution system for
+//! a service mesh.
 //!
 //! Every node of the mesh runs the same code: it folds configuration changes
-//! from an append-only log, keeps a table of the other nodes, picks a target
-//! for each call and guards the target beside it. This crate holds those
-//! decisions and the ports they need. It names no socket and no HTTP type, so
-//! that a test can drive each decision with a clock of its own; the sockets
-//! live in the `wisteriaturnd` crate.
+//! from an append-only log, keeps a table of the other nodes, selects a target
+//! for each call and limits the load on the target that runs on its own VM.
+//! This crate contains that logic and the interfaces it needs. It uses no
+//! sockets and no HTTP types, so that tests can run it under a manual clock;
+//! network I/O is in the `wisteriaturnd` crate.
 //!
-//! The trade-off: the daemon has to copy a few values between wire types and
-//! the types here. In return a property test reaches every decision without a
+//! The trade-off: the daemon has to convert a few values between wire types and
+//! the types of this crate. In return, property tests cover the logic without a
 //! network.
 //!
 //! See [docs/DESIGN.md](../docs/DESIGN.md) for the design and
-//! [docs/PROOFS.md](../docs/PROOFS.md) for what proves each promise.
+//! [docs/PROOFS.md](../docs/PROOFS.md) for the tests behind each guarantee.
 
 #[macro_use]
 mod macros;
--- a/src/log_port.rs
+++ b/src/log_port.rs
@@ -1,9 +1,10 @@
-//! The port to the platform's append-only log.
+//! Interface to the platform's append-only log.
 //!
-//! All that must be agreed on or kept goes through this port: configuration,
-//! snapshots and claims of idempotency keys. The port is a struct of closures
-//! rather than a trait, so that the HTTP adapter, the in-memory log of
-//! `--trial` and a fake in a test are each one function that returns it.
+//! Everything that nodes must agree on or persist is written through it:
+//! configuration, snapshots and claims of idempotency keys. [`LogPort`] is a
+//! struct of closures rather than a trait, so that the HTTP adapter, the
+//! in-memory log of `--trial` and a test fake are each one function that
+//! returns it.
 
 use std::fmt;
 use std::future::Future;
@@ -17,58 +18,58 @@
 use crate::error::LogError;
 use crate::ids::Offset;
 
-/// A record of a stream with its position.
+/// A record of a stream and its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogRecord {
-    /// Position in the stream.
+    /// Position of the record in the stream.
     pub offset: Offset,
-    /// The bytes that were appended.
+    /// The appended bytes.
     pub data: Bytes,
 }
 
-/// A run of records.
+/// The result of a read: consecutive records of a stream.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LogBatch {
-    /// First offset that the stream still keeps.
+    /// First offset that the stream still retains.
     pub first: Offset,
-    /// Offset that the next append will get.
+    /// Offset that the next append to the stream will get.
     pub next: Offset,
     /// The records, without gaps.
     pub records: Vec<LogRecord>,
 }
 
-/// Where to read in a stream.
+/// The parameters of a read.
 #[derive(Debug, Clone)]
 pub struct ReadRequest {
     /// Name of the stream.
     pub stream: String,
-    /// First offset wanted.
+    /// First offset to return.
     pub from: Offset,
-    /// Most records wanted.
+    /// Maximum number of records to return.
     pub limit: usize,
-    /// How long to wait for a record when there is none.
+    /// How long to wait for a record when there is none yet.
     pub wait: Duration,
 }
 
-/// A future that is boxed so that different adapters have one type.
+/// A boxed future, which gives all adapters the same type.
 pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 type AppendFn = dyn Fn(String, Bytes) -> BoxFuture<Result<Offset, LogError>> + Send + Sync;
 type ReadFn = dyn Fn(ReadRequest) -> BoxFuture<Result<LogBatch, LogError>> + Send + Sync;
 
-/// Bytes counted for the head of a request or an answer.
-const HEAD_BYTES: u64 = 160;
+/// Estimated size of the HTTP head of a request or a response.
+const ESTIMATED_HEAD_BYTES: u64 = 160;
 
-/// A cheap handle to the log.
+/// A handle to the log that is cheap to clone.
 #[derive(Clone)]
 pub struct LogPort {
     append: Arc<AppendFn>,
     read: Arc<ReadFn>,
-    bytes: Arc<AtomicU64>,
+    traffic_bytes: Arc<AtomicU64>,
 }
 
 impl LogPort {
-    /// Returns a port made of an append and a read function.
+    /// Returns a handle that calls `append` and `read`.
     pub fn new<A, R>(append: A, read: R) -> Self
     where
         A: Fn(String, Bytes) -> BoxFuture<Result<Offset, LogError>> + Send + Sync + 'static,
@@ -77,33 +78,33 @@
         Self {
             append: Arc::new(append),
             read: Arc::new(read),
-            bytes: Arc::default(),
+            traffic_bytes: Arc::default(),
         }
     }
 
     /// Appends a record to `stream` and returns its offset.
     pub async fn append(&self, stream: &str, data: Bytes) -> Result<Offset, LogError> {
-        self.count(data.len());
+        self.count_traffic(data.len());
         (self.append)(stream.to_owned(), data).await
     }
 
-    /// Reads records in order.
+    /// Reads consecutive records of a stream.
     pub async fn read(&self, request: ReadRequest) -> Result<LogBatch, LogError> {
-        let batch = (self.read)(request).await;
-        let records = batch.iter().flat_map(|batch| &batch.records);
-        // Records travel in base 64, which is a third longer.
-        self.count(records.map(|record| record.data.len() * 4 / 3).sum());
-        batch
+        let result = (self.read)(request).await;
+        let records = result.iter().flat_map(|batch| &batch.records);
+        // Records are sent in Base64, which is a third longer.
+        self.count_traffic(records.map(|record| record.data.len() * 4 / 3).sum());
+        result
     }
 
-    /// Returns about how many bytes went to and from the log.
+    /// Returns an estimate of the bytes sent to and received from the log.
     pub fn traffic_bytes(&self) -> u64 {
-        self.bytes.load(Ordering::Relaxed)
+        self.traffic_bytes.load(Ordering::Relaxed)
     }
 
-    fn count(&self, payload: usize) {
-        let bytes = 2 * HEAD_BYTES + payload as u64;
-        self.bytes.fetch_add(bytes, Ordering::Relaxed);
+    fn count_traffic(&self, payload_bytes: usize) {
+        let bytes = 2 * ESTIMATED_HEAD_BYTES + payload_bytes as u64;
+        self.traffic_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 }
 
--- a/src/macros.rs
+++ b/src/macros.rs
@@ -1,9 +1,9 @@
-//! Small macros for the derives and newtypes that recur through the crate.
+//! Macros for the derives and newtypes that are used throughout the crate.
 //!
-//! A derive macro crate was the other way; it would cost a build of its own
-//! for what three `macro_rules` do.
+//! A derive macro would need a crate of its own, which costs extra build time
+//! for what a few `macro_rules` do.
 
-/// Gives each item the derives of a plain value that travels between nodes.
+/// Adds the derives of a plain value that is sent between nodes to each item.
 macro_rules! record {
     ($($item:item)*) => {
         $(
@@ -13,7 +13,7 @@
     };
 }
 
-/// Defines a number newtype with `Display` and `FromStr`.
+/// Defines newtypes of numbers with `Display` and `FromStr`.
 macro_rules! number_type {
     ($($(#[$meta:meta])* $name:ident($inner:ty);)*) => {
         $(
@@ -42,7 +42,7 @@
     };
 }
 
-/// Defines a 128-bit identifier that is written as 32 hexadecimal digits.
+/// Defines 128-bit identifiers that are displayed as 32 hexadecimal digits.
 macro_rules! hex_type {
     ($($(#[$meta:meta])* $name:ident;)*) => {
         $(
@@ -99,7 +99,7 @@
     };
 }
 
-/// Defines a checked name that is kept as bytes until its text is needed.
+/// Defines newtypes of names that are checked on creation and stored as bytes.
 macro_rules! name_type {
     ($($(#[$meta:meta])* $name:ident, $check:path;)*) => {
         $(
@@ -108,7 +108,7 @@
             pub struct $name(bytes::Bytes);
 
             impl $name {
-                /// Returns the name as text.
+                /// Returns the name as a string slice.
                 pub fn as_str(&self) -> &str {
                     std::str::from_utf8(&self.0).unwrap_or_default()
                 }
