--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -10,7 +10,9 @@
 use wisteriaturn::config::resource::{PolicySpec, Resource};
 use wisteriaturn::config::snapshot::{decode_snapshot, encode_snapshot};
 use wisteriaturn::config::view::{ConfigView, ServingView};
-use wisteriaturn::gate::claim::{ClaimBatch, ClaimFold, ClaimHolder, ClaimItem, KEY_LIMIT};
+use wisteriaturn::gate::claim::{
+    ClaimBatch, ClaimHolder, ClaimItem, ClaimTable, MAX_KEYS_PER_STREAM,
+};
 use wisteriaturn::ids::{
     BootId, CallId, ChangeId, Incarnation, KeyHash, LinkRate, NodeAddress, Sequence, ServiceName,
     SlotCount,
@@ -84,9 +86,9 @@
 }
 
 /// Returns a claim stream with as many live keys as a keeper holds.
-fn many_claims() -> ClaimFold {
-    let mut fold = ClaimFold::default();
-    for first in (0..KEY_LIMIT as u128).step_by(1_000) {
+fn many_claims() -> ClaimTable {
+    let mut fold = ClaimTable::default();
+    for first in (0..MAX_KEYS_PER_STREAM as u128).step_by(1_000) {
         let claim = |key| ClaimItem::Claim {
             key: KeyHash(key),
             holder: ClaimHolder {
@@ -105,7 +107,7 @@
         if first == 0 {
             println!("a batch of 1000 claims takes {} bytes", record.len());
         }
-        fold.fold(&record);
+        fold.apply(&record);
     }
     fold
 }
--- a/src/gate/announce.rs
+++ b/src/gate/announce.rs
@@ -17,11 +17,11 @@
 use crate::member::record::{MAX_DEPARTURES, TargetDeparture};
 
 /// Most lives remembered; a VM has one target and replaces it now and then.
-pub const LIFE_LIMIT: usize = 256;
+pub const MAX_TRACKED_INSTANCES: usize = 256;
 
 /// What orders an announcement among others.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TargetStatement {
+pub struct AnnouncementSummary {
     /// Name of the target.
     pub instance: InstanceId,
     /// Its life.
@@ -53,19 +53,19 @@
 
 /// What the targets on one VM said of themselves.
 #[derive(Debug, Default)]
-pub struct AnnounceBook {
+pub struct AnnouncementTracker {
     lives: HashMap<InstanceId, LifeMark>,
     addresses: HashMap<SocketAddr, Incarnation>,
 }
 
-impl AnnounceBook {
+impl AnnouncementTracker {
     /// Returns an empty book.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes a statement; returns whether it counts.
-    pub fn note(&mut self, statement: TargetStatement) -> bool {
+    pub fn accept(&mut self, statement: AnnouncementSummary) -> bool {
         let at_address = self.addresses.get(&statement.address);
         if at_address.is_some_and(|latest| *latest > statement.incarnation) {
             return false;
@@ -155,7 +155,7 @@
     /// A node that has just started may hear of the end of a life before it hears
     /// of the life: its announcements come late. That life began before now, so
     /// `now`, the wall time in the unit of incarnations, stands for it.
-    pub fn leave(
+    pub fn record_departure(
         &mut self,
         instance: &InstanceId,
         incarnation: Option<Incarnation>,
@@ -182,7 +182,7 @@
 
     /// Forgets the life that began first when there are too many.
     fn make_room(&mut self, newcomer: &InstanceId) {
-        if self.lives.len() < LIFE_LIMIT || self.lives.contains_key(newcomer) {
+        if self.lives.len() < MAX_TRACKED_INSTANCES || self.lives.contains_key(newcomer) {
             return;
         }
         let oldest = self
@@ -193,7 +193,7 @@
         if let Some(oldest) = oldest {
             self.lives.remove(&oldest);
         }
-        if self.addresses.len() >= LIFE_LIMIT {
+        if self.addresses.len() >= MAX_TRACKED_INSTANCES {
             self.addresses.clear();
         }
     }
--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -20,16 +20,16 @@
 use crate::ids::{BootId, CallId, KeyHash, Offset};
 
 /// First byte of a claim record.
-pub const CLAIM_FORMAT: u8 = 1;
+pub const CLAIM_FORMAT_VERSION: u8 = 1;
 
 /// Streams over which keys are spread.
-pub const CLAIM_STREAMS: u32 = 4;
+pub const CLAIM_STREAM_COUNT: u32 = 4;
 
 /// Most items in one record.
-pub const BATCH_LIMIT: usize = 2048;
+pub const MAX_BATCH_ITEMS: usize = 2048;
 
 /// Most keys that one stream's reader holds.
-pub const KEY_LIMIT: usize = 400_000;
+pub const MAX_KEYS_PER_STREAM: usize = 400_000;
 
 record! {
     /// The run that holds a key.
@@ -61,7 +61,7 @@
     }
 
     /// What a gate asks of a keeper.
-    pub struct ClaimDemand {
+    pub struct ClaimRequest {
         /// Number of the stream.
         pub stream: u32,
         /// The items.
@@ -69,7 +69,7 @@
     }
 
     /// What became of an item.
-    pub enum ClaimVerdict {
+    pub enum ClaimOutcome {
         /// The run holds the key, or the release took effect.
         Won,
         /// Another run holds the key.
@@ -94,7 +94,7 @@
 impl ClaimBatch {
     /// Encodes the batch as a record of the log.
     pub fn encode(&self) -> Result<Bytes, CodecError> {
-        let mut record = vec![CLAIM_FORMAT];
+        let mut record = vec![CLAIM_FORMAT_VERSION];
         record.extend(postcard::to_stdvec(self).map_err(|_| CodecError::Malformed)?);
         Ok(Bytes::from(record))
     }
@@ -105,7 +105,7 @@
 
     fn try_from(record: &[u8]) -> Result<Self, CodecError> {
         match record.split_first() {
-            Some((&CLAIM_FORMAT, body)) => match postcard::take_from_bytes(body) {
+            Some((&CLAIM_FORMAT_VERSION, body)) => match postcard::take_from_bytes(body) {
                 Ok((batch, [])) => Ok(batch),
                 Ok(_) | Err(_) => Err(CodecError::Malformed),
             },
@@ -123,13 +123,13 @@
 
 /// The keys of one stream, folded up to an offset.
 #[derive(Debug, Default)]
-pub struct ClaimFold {
+pub struct ClaimTable {
     next: Offset,
     newest_ms: u64,
     keys: HashMap<KeyHash, HeldClaim>,
 }
 
-impl ClaimFold {
+impl ClaimTable {
     /// Returns a fold that starts at `next`, which must be at or before the
     /// first record that can still be live.
     pub fn starting_at(next: Offset) -> Self {
@@ -140,7 +140,7 @@
     }
 
     /// Returns the offset of the next record to fold.
-    pub fn next(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.next
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Folds the next record. An undecodable one counts and changes nothing.
-    pub fn fold(&mut self, record: &[u8]) -> Vec<ClaimVerdict> {
+    pub fn apply(&mut self, record: &[u8]) -> Vec<ClaimOutcome> {
         self.next.0 += 1;
         let Ok(batch) = ClaimBatch::try_from(record) else {
             return Vec::new();
@@ -164,7 +164,7 @@
         let expires_ms = batch.wall_ms.saturating_add(batch.lifetime_ms);
         let mut verdicts = Vec::with_capacity(batch.items.len());
         for item in batch.items {
-            verdicts.push(self.fold_item(item, batch.wall_ms, expires_ms));
+            verdicts.push(self.apply_item(item, batch.wall_ms, expires_ms));
         }
         verdicts
     }
@@ -177,21 +177,21 @@
     /// Drops keys that no later record can meet alive: by the newest record,
     /// or by the reader's wall time `now_ms` when nobody writes. Writers' clocks
     /// may differ, so keys stay for `slack` beyond their time.
-    pub fn forget_expired(&mut self, now_ms: u64, slack: Duration) {
+    pub fn remove_expired(&mut self, now_ms: u64, slack: Duration) {
         let slack_ms = u64::try_from(slack.as_millis()).unwrap_or(u64::MAX);
         let newest_ms = self.newest_ms.max(now_ms);
         self.keys
             .retain(|_, held| held.expires_ms.saturating_add(slack_ms) > newest_ms);
     }
 
-    fn fold_item(&mut self, item: ClaimItem, wall_ms: u64, expires_ms: u64) -> ClaimVerdict {
+    fn apply_item(&mut self, item: ClaimItem, wall_ms: u64, expires_ms: u64) -> ClaimOutcome {
         match item {
             ClaimItem::Claim { key, holder } => match self.keys.get(&key) {
-                Some(held) if held.holder.run == holder.run => ClaimVerdict::Won,
-                Some(held) if held.expires_ms > wall_ms => ClaimVerdict::Lost(held.holder.clone()),
+                Some(held) if held.holder.run == holder.run => ClaimOutcome::Won,
+                Some(held) if held.expires_ms > wall_ms => ClaimOutcome::Lost(held.holder.clone()),
                 Some(_) | None => {
                     self.keys.insert(key, HeldClaim { holder, expires_ms });
-                    ClaimVerdict::Won
+                    ClaimOutcome::Won
                 }
             },
             ClaimItem::Release { key, run } => {
@@ -202,15 +202,15 @@
                 {
                     self.keys.remove(&key);
                 }
-                ClaimVerdict::Won
+                ClaimOutcome::Won
             }
         }
     }
 }
 
 /// Returns the number of the stream that a key belongs to.
-pub fn stream_of(key: KeyHash) -> u32 {
-    (key.0 % u128::from(CLAIM_STREAMS)) as u32
+pub fn stream_for_key(key: KeyHash) -> u32 {
+    (key.0 % u128::from(CLAIM_STREAM_COUNT)) as u32
 }
 
 /// Returns the name of a claim stream.
--- a/src/gate/ledger.rs
+++ b/src/gate/ledger.rs
@@ -18,26 +18,26 @@
 use crate::invariant::{Invariant, check};
 
 /// How long an answer is kept for a node that lost its exchange.
-pub const ANSWER_TIME: Duration = Duration::from_secs(30);
+pub const ANSWER_RETENTION: Duration = Duration::from_secs(30);
 
 /// How long a revoked call stays revoked. Its request can still sit in a
 /// socket buffer, but not for as long as this.
-pub const REVOKED_TIME: Duration = Duration::from_secs(600);
+pub const REVOCATION_RETENTION: Duration = Duration::from_secs(600);
 
 /// Most calls remembered.
-pub const LEDGER_LIMIT: usize = 65_536;
+pub const MAX_LEDGER_CALLS: usize = 65_536;
 
 /// Largest answer body kept, in bytes.
-pub const BODY_LIMIT: usize = 256 * 1024;
+pub const MAX_STORED_BODY_BYTES: usize = 256 * 1024;
 
 /// Most bytes of answers kept.
-pub const KEPT_LIMIT: usize = 16 * 1024 * 1024;
+pub const MAX_STORED_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 record! {
     /// How a call ended.
-    pub enum CallEnd {
+    pub enum CallResult {
         /// The target answered.
-        Answered(KeptAnswer),
+        Answered(StoredAnswer),
         /// The call was refused before it started.
         Refused(RefusalReason),
         /// The exchange with the target was lost after it started.
@@ -47,7 +47,7 @@
     }
 
     /// A whole answer.
-    pub struct KeptAnswer {
+    pub struct StoredAnswer {
         /// HTTP status.
         pub status: u16,
         /// Names and values of the headers.
@@ -59,21 +59,21 @@
 
 #[derive(Debug)]
 enum CallState {
-    Waiting(watch::Receiver<Option<Arc<CallEnd>>>),
+    Waiting(watch::Receiver<Option<Arc<CallResult>>>),
     Revoked,
-    Running(watch::Receiver<Option<Arc<CallEnd>>>),
-    Ended(Arc<CallEnd>),
+    Running(watch::Receiver<Option<Arc<CallResult>>>),
+    Ended(Arc<CallResult>),
 }
 
 /// What a gate knows of a call that it is asked about.
 #[derive(Debug)]
-pub enum CallInquiry {
+pub enum CallStatus {
     /// The call never started and never will.
     NotRun(RefusalReason),
     /// The call waits or runs; the receiver gets its end.
-    Running(watch::Receiver<Option<Arc<CallEnd>>>),
+    Running(watch::Receiver<Option<Arc<CallResult>>>),
     /// The call ended.
-    Ended(Arc<CallEnd>),
+    Ended(Arc<CallResult>),
     /// The gate cannot say.
     Unknown,
 }
@@ -97,7 +97,7 @@
 pub struct CallTicket {
     ledger: CallLedger,
     call: CallId,
-    sender: watch::Sender<Option<Arc<CallEnd>>>,
+    sender: watch::Sender<Option<Arc<CallResult>>>,
     is_started: bool,
     is_ended: bool,
 }
@@ -117,13 +117,13 @@
     ///
     /// [`RefusalReason::Revoked`] when the call was revoked or entered before,
     /// [`RefusalReason::Saturated`] when the ledger is full.
-    pub fn enter(&self, call: CallId) -> Result<CallTicket, RefusalReason> {
+    pub fn register(&self, call: CallId) -> Result<CallTicket, RefusalReason> {
         let mut state = lock(&self.state);
         state.expire(self.clock.now());
         if state.calls.contains_key(&call) {
             return Err(RefusalReason::Revoked);
         }
-        if state.calls.len() >= LEDGER_LIMIT {
+        if state.calls.len() >= MAX_LEDGER_CALLS {
             return Err(RefusalReason::Saturated);
         }
         let (sender, receiver) = watch::channel(None);
@@ -138,43 +138,43 @@
     }
 
     /// Asks about a call and revokes it if it has not started.
-    pub fn revoke(&self, call: CallId) -> CallInquiry {
+    pub fn revoke(&self, call: CallId) -> CallStatus {
         let now = self.clock.now();
         let mut state = lock(&self.state);
         state.expire(now);
-        let is_full = state.calls.len() >= LEDGER_LIMIT;
+        let is_full = state.calls.len() >= MAX_LEDGER_CALLS;
         match state.calls.get(&call) {
-            Some(CallState::Running(receiver)) => return CallInquiry::Running(receiver.clone()),
-            Some(CallState::Ended(end)) => return ended(end),
-            Some(CallState::Revoked) => return CallInquiry::NotRun(RefusalReason::Revoked),
+            Some(CallState::Running(receiver)) => return CallStatus::Running(receiver.clone()),
+            Some(CallState::Ended(end)) => return status_of(end),
+            Some(CallState::Revoked) => return CallStatus::NotRun(RefusalReason::Revoked),
             Some(CallState::Waiting(_)) => {}
-            None if is_full => return CallInquiry::Unknown,
+            None if is_full => return CallStatus::Unknown,
             None => {}
         }
         state.calls.insert(call, CallState::Revoked);
-        state.expiry.push_back((now + REVOKED_TIME, call));
-        CallInquiry::NotRun(RefusalReason::Revoked)
+        state.expiry.push_back((now + REVOCATION_RETENTION, call));
+        CallStatus::NotRun(RefusalReason::Revoked)
     }
 
     /// Asks about a call without revoking it. A call that the ledger does not
     /// know may have run and been forgotten.
-    pub fn inquire(&self, call: CallId) -> CallInquiry {
+    pub fn status(&self, call: CallId) -> CallStatus {
         match lock(&self.state).calls.get(&call) {
             Some(CallState::Waiting(receiver) | CallState::Running(receiver)) => {
-                CallInquiry::Running(receiver.clone())
+                CallStatus::Running(receiver.clone())
             }
-            Some(CallState::Ended(end)) => ended(end),
-            Some(CallState::Revoked) => CallInquiry::NotRun(RefusalReason::Revoked),
-            None => CallInquiry::Unknown,
+            Some(CallState::Ended(end)) => status_of(end),
+            Some(CallState::Revoked) => CallStatus::NotRun(RefusalReason::Revoked),
+            None => CallStatus::Unknown,
         }
     }
 }
 
-fn ended(end: &Arc<CallEnd>) -> CallInquiry {
+fn status_of(end: &Arc<CallResult>) -> CallStatus {
     match end.as_ref() {
-        CallEnd::Refused(reason) => CallInquiry::NotRun(*reason),
-        CallEnd::Answered(_) | CallEnd::Lost | CallEnd::TooLarge => {
-            CallInquiry::Ended(Arc::clone(end))
+        CallResult::Refused(reason) => CallStatus::NotRun(*reason),
+        CallResult::Answered(_) | CallResult::Lost | CallResult::TooLarge => {
+            CallStatus::Ended(Arc::clone(end))
         }
     }
 }
@@ -184,7 +184,7 @@
         while let Some((when, call)) = self.expiry.front().copied() {
             // Revoked calls wait longer than answers, so the queue is not in
             // strict order; what is found late only stays a little longer.
-            if when > now && self.calls.len() < LEDGER_LIMIT / 2 {
+            if when > now && self.calls.len() < MAX_LEDGER_CALLS / 2 {
                 return;
             }
             if when > now && matches!(self.calls.get(&call), Some(CallState::Revoked)) {
@@ -198,10 +198,10 @@
     }
 }
 
-fn kept_bytes(end: &CallEnd) -> usize {
+fn kept_bytes(end: &CallResult) -> usize {
     match end {
-        CallEnd::Answered(answer) => answer.body.len(),
-        CallEnd::Refused(_) | CallEnd::Lost | CallEnd::TooLarge => 0,
+        CallResult::Answered(answer) => answer.body.len(),
+        CallResult::Refused(_) | CallResult::Lost | CallResult::TooLarge => 0,
     }
 }
 
@@ -224,35 +224,35 @@
     }
 
     /// Ends the call and keeps its end for those who ask.
-    pub fn end(mut self, end: CallEnd) {
-        self.end_with(end);
+    pub fn finish(mut self, end: CallResult) {
+        self.finish_with(end);
     }
 
     /// Ends a started call of which its target said that it did not run it.
-    pub fn end_unrun(mut self, reason: RefusalReason) {
+    pub fn finish_not_run(mut self, reason: RefusalReason) {
         self.is_started = false;
-        self.end_with(CallEnd::Refused(reason));
+        self.finish_with(CallResult::Refused(reason));
     }
 
-    fn end_with(&mut self, end: CallEnd) {
+    fn finish_with(&mut self, end: CallResult) {
         self.is_ended = true;
-        let is_refusal = matches!(end, CallEnd::Refused(_));
+        let is_refusal = matches!(end, CallResult::Refused(_));
         check(Invariant::NotRunStays, !(is_refusal && self.is_started));
         let now = self.ledger.clock.now();
         let mut state = lock(&self.ledger.state);
         if matches!(state.calls.get(&self.call), Some(CallState::Revoked)) {
             drop(state);
-            let end = CallEnd::Refused(RefusalReason::Revoked);
+            let end = CallResult::Refused(RefusalReason::Revoked);
             self.sender.send_replace(Some(Arc::new(end)));
             return;
         }
-        let is_over = state.kept + kept_bytes(&end) > KEPT_LIMIT;
-        let end = Arc::new(if is_over { CallEnd::TooLarge } else { end });
+        let is_over = state.kept + kept_bytes(&end) > MAX_STORED_ANSWER_BYTES;
+        let end = Arc::new(if is_over { CallResult::TooLarge } else { end });
         state.kept += kept_bytes(&end);
         state
             .calls
             .insert(self.call, CallState::Ended(Arc::clone(&end)));
-        state.expiry.push_back((now + ANSWER_TIME, self.call));
+        state.expiry.push_back((now + ANSWER_RETENTION, self.call));
         drop(state);
         self.sender.send_replace(Some(end));
     }
@@ -265,10 +265,10 @@
         }
         // A task that was cancelled: started calls may have run.
         let end = if self.is_started {
-            CallEnd::Lost
+            CallResult::Lost
         } else {
-            CallEnd::Refused(RefusalReason::Revoked)
+            CallResult::Refused(RefusalReason::Revoked)
         };
-        self.end_with(end);
+        self.finish_with(end);
     }
 }
--- a/src/gate/outcome.rs
+++ b/src/gate/outcome.rs
@@ -92,7 +92,7 @@
     }
 }
 
-const REASONS: [(RefusalReason, &str); 17] = [
+const REASON_NAMES: [(RefusalReason, &str); 17] = [
     (RefusalReason::Saturated, "saturated"),
     (RefusalReason::Crowded, "crowded"),
     (RefusalReason::Deadline, "deadline"),
@@ -115,7 +115,7 @@
 impl RefusalReason {
     /// Returns the name that headers and logs use.
     pub fn name(self) -> &'static str {
-        REASONS
+        REASON_NAMES
             .iter()
             .find(|(reason, _)| *reason == self)
             .map(|(_, name)| *name)
@@ -124,7 +124,7 @@
 
     /// Tells whether a call that ended so may have reached a target, so that
     /// sending it again is work for a second one.
-    pub fn has_reached_target(self) -> bool {
+    pub fn may_have_reached_target(self) -> bool {
         matches!(
             self,
             RefusalReason::GateLost
@@ -135,7 +135,7 @@
     }
 
     /// Tells whether another target may do better.
-    pub fn is_worth_another_target(self) -> bool {
+    pub fn is_retryable_elsewhere(self) -> bool {
         matches!(
             self,
             RefusalReason::Saturated
@@ -162,7 +162,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        REASONS
+        REASON_NAMES
             .iter()
             .find(|(_, name)| *name == text)
             .map(|(reason, _)| *reason)
--- a/src/gate/quarantine.rs
+++ b/src/gate/quarantine.rs
@@ -14,23 +14,23 @@
 use crate::ids::{Fingerprint, NodeAddress};
 
 /// Distinct targets lost before a request is quarantined.
-pub const LOSSES_TO_QUARANTINE: usize = 2;
+pub const MIN_LOSSES_FOR_QUARANTINE: usize = 2;
 
 /// How long a request stays quarantined.
-pub const QUARANTINE_TIME: Duration = Duration::from_secs(300);
+pub const QUARANTINE_DURATION: Duration = Duration::from_secs(300);
 
 /// How long a request stays suspect.
-pub const SUSPECT_TIME: Duration = Duration::from_secs(600);
+pub const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 
 /// Most suspects remembered.
-pub const SUSPECT_LIMIT: usize = 4096;
+pub const MAX_SUSPECTS: usize = 4096;
 
 /// Most fingerprints remembered as having run to their end.
-pub const SUCCESS_LIMIT: usize = 8192;
+pub const MAX_SUCCESSES: usize = 8192;
 
 /// The standing of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestStanding {
+pub enum QuarantineStatus {
     /// Nothing is known against it.
     Clean,
     /// One target was lost while running it.
@@ -77,7 +77,7 @@
 
     /// Notes that a target was lost while it ran a request. Returns whether
     /// that was new, so that it is spread once.
-    pub fn note_loss(
+    pub fn record_target_loss(
         &mut self,
         fingerprint: Fingerprint,
         node: NodeAddress,
@@ -85,7 +85,7 @@
         now: Instant,
     ) -> bool {
         self.forget_old(now);
-        if self.suspects.len() >= SUSPECT_LIMIT && !self.suspects.contains_key(&fingerprint) {
+        if self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&fingerprint) {
             self.drop_oldest();
         }
         let entry = self
@@ -112,11 +112,11 @@
     }
 
     /// Notes that a request ran to its end. Returns whether that clears it.
-    pub fn note_success(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_success(&mut self, fingerprint: Fingerprint) -> bool {
         if self.successes.insert(fingerprint) {
             self.success_order.push_back(fingerprint);
         }
-        if self.success_order.len() > SUCCESS_LIMIT
+        if self.success_order.len() > MAX_SUCCESSES
             && let Some(oldest) = self.success_order.pop_front()
         {
             self.successes.remove(&oldest);
@@ -131,7 +131,7 @@
             return false;
         };
         let count = entry.count();
-        if count == 0 || count >= LOSSES_TO_QUARANTINE {
+        if count == 0 || count >= MIN_LOSSES_FOR_QUARANTINE {
             return false;
         }
         for loss in entry.losses.values_mut() {
@@ -141,33 +141,33 @@
     }
 
     /// Tells whether a request ran to its end recently.
-    pub fn has_succeeded(&self, fingerprint: Fingerprint) -> bool {
+    pub fn has_recent_success(&self, fingerprint: Fingerprint) -> bool {
         self.successes.contains(&fingerprint)
     }
 
     /// Returns the standing of a request.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Instant) -> RequestStanding {
+    pub fn status(&self, fingerprint: Fingerprint, now: Instant) -> QuarantineStatus {
         let Some(entry) = self.suspects.get(&fingerprint) else {
-            return RequestStanding::Clean;
+            return QuarantineStatus::Clean;
         };
-        let until = entry.last + QUARANTINE_TIME;
+        let until = entry.last + QUARANTINE_DURATION;
         let count = entry.count();
-        if count >= LOSSES_TO_QUARANTINE && now < until {
-            return RequestStanding::Quarantined(until);
+        if count >= MIN_LOSSES_FOR_QUARANTINE && now < until {
+            return QuarantineStatus::Quarantined(until);
         }
-        let is_over = now >= entry.last + SUSPECT_TIME;
-        if count == 0 || count >= LOSSES_TO_QUARANTINE || is_over {
-            return RequestStanding::Clean;
+        let is_over = now >= entry.last + SUSPECT_RETENTION;
+        if count == 0 || count >= MIN_LOSSES_FOR_QUARANTINE || is_over {
+            return QuarantineStatus::Clean;
         }
-        RequestStanding::Suspect
+        QuarantineStatus::Suspect
     }
 
     fn forget_old(&mut self, now: Instant) {
         self.suspects.retain(|_, entry| {
-            let time = if entry.count() >= LOSSES_TO_QUARANTINE {
-                QUARANTINE_TIME
+            let time = if entry.count() >= MIN_LOSSES_FOR_QUARANTINE {
+                QUARANTINE_DURATION
             } else {
-                SUSPECT_TIME
+                SUSPECT_RETENTION
             };
             now < entry.last + time
         });
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -27,22 +27,22 @@
 use crate::invariant::{Invariant, check};
 
 /// Waiting calls allowed for each slot.
-pub const QUEUE_PER_SLOT: usize = 4;
+pub const MAX_QUEUED_PER_SLOT: usize = 4;
 
 /// Late calls that may wait, as a share of the slots.
-const LATE_PER_SLOT: f64 = 0.4;
+const MAX_LATE_PER_SLOT: f64 = 0.4;
 
 /// Part of the expected run that a call needs to have a chance: run times
 /// spread, and short runs are common.
-const LEAST_RUN: f64 = 0.6;
+const MIN_RUN_FACTOR: f64 = 0.6;
 
 /// Multiple of the expected run that a call must have left to be likely in time.
 /// With one, half of those that just get in are late, and under a standing
 /// overload nearly all calls just get in.
-pub const LIKELY_RUN: f64 = 1.3;
+pub const LIKELY_RUN_FACTOR: f64 = 1.3;
 
 /// Share of the running mean that a new sample gets is 1 / this.
-const MEAN_WEIGHT: u32 = 8;
+const MEAN_RUN_DIVISOR: u32 = 8;
 
 /// The order in which calls wait: by class, then by priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -60,7 +60,7 @@
 
 /// What a call that waits for a slot needs to know.
 #[derive(Debug, Clone, Copy)]
-pub struct SlotDemand {
+pub struct SlotRequest {
     /// Its rank.
     pub rank: QueueRank,
     /// Until when its answer is worth most.
@@ -68,20 +68,20 @@
     /// Until when its answer is worth anything.
     pub deadline: Instant,
     /// How long it is expected to hold the slot.
-    pub run: Duration,
+    pub expected_run: Duration,
     /// Longest wait that is better than going to another target.
     pub patience: Duration,
 }
 
-impl SlotDemand {
+impl SlotRequest {
     /// Tells whether a call that starts at `start` is likely in time.
     fn is_in_time(&self, start: Instant) -> bool {
-        start + self.run.mul_f64(LIKELY_RUN) <= self.aim
+        start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.aim
     }
 
     /// Tells whether a call that starts at `start` has a chance to end.
     fn can_end(&self, start: Instant) -> bool {
-        start < self.deadline && start + self.run.mul_f64(LEAST_RUN) <= self.deadline
+        start < self.deadline && start + self.expected_run.mul_f64(MIN_RUN_FACTOR) <= self.deadline
     }
 }
 
@@ -89,7 +89,7 @@
 
 #[derive(Debug)]
 struct WaitingCall {
-    demand: SlotDemand,
+    demand: SlotRequest,
     sender: oneshot::Sender<Result<SlotPermit, RefusalReason>>,
 }
 
@@ -132,7 +132,7 @@
 
 impl GateLoad {
     /// Returns the time after which one more call can expect a slot.
-    pub fn room_after(&self) -> Duration {
+    pub fn expected_wait(&self) -> Duration {
         if self.busy < self.slots && self.waiting == 0 {
             return Duration::ZERO;
         }
@@ -203,11 +203,11 @@
         class: CallClass,
         deadline: Instant,
     ) -> Result<SlotPermit, RefusalReason> {
-        let demand = SlotDemand {
+        let demand = SlotRequest {
             rank: QueueRank::new(class, CallPriority::default()),
             aim: deadline,
             deadline,
-            run: Duration::ZERO,
+            expected_run: Duration::ZERO,
             patience: Duration::MAX,
         };
         self.acquire_for(demand).await
@@ -218,7 +218,7 @@
     /// # Errors
     ///
     /// As of [`Self::acquire`].
-    pub async fn acquire_for(&self, demand: SlotDemand) -> Result<SlotPermit, RefusalReason> {
+    pub async fn acquire_for(&self, demand: SlotRequest) -> Result<SlotPermit, RefusalReason> {
         let receiver = match self.try_enter(demand)? {
             Entry::Admitted(permit) => return Ok(permit),
             Entry::Waiting(receiver) => receiver,
@@ -226,7 +226,7 @@
         receiver.await.unwrap_or(Err(RefusalReason::Draining))
     }
 
-    fn try_enter(&self, demand: SlotDemand) -> Result<Entry, RefusalReason> {
+    fn try_enter(&self, demand: SlotRequest) -> Result<Entry, RefusalReason> {
         let now = self.clock.now();
         let mut state = lock(&self.state);
         if state.is_draining {
@@ -327,7 +327,7 @@
             .values()
             .filter(|call| !call.demand.is_in_time(now))
             .count();
-        (late as f64) < self.slots as f64 * LATE_PER_SLOT
+        (late as f64) < self.slots as f64 * MAX_LATE_PER_SLOT
     }
 
     /// Takes the late calls for which there is no room, those with the least time
@@ -339,7 +339,7 @@
             .filter(|(_, call)| !call.demand.is_in_time(now))
             .map(|(key, _)| *key)
             .collect();
-        let room = (self.slots as f64 * LATE_PER_SLOT).ceil() as usize;
+        let room = (self.slots as f64 * MAX_LATE_PER_SLOT).ceil() as usize;
         let surplus = late.len().saturating_sub(room);
         late.iter()
             .take(surplus)
@@ -361,10 +361,10 @@
     }
 
     /// Refuses the newcomer or the last of the queue, whichever is served later.
-    fn make_room(&mut self, demand: &SlotDemand) -> Result<(), RefusalReason> {
+    fn make_room(&mut self, demand: &SlotRequest) -> Result<(), RefusalReason> {
         // A caller that gave up must not take the place of one that waits.
         self.waiting.retain(|_, call| !call.sender.is_closed());
-        if self.waiting.len() < self.slots.max(1) * QUEUE_PER_SLOT {
+        if self.waiting.len() < self.slots.max(1) * MAX_QUEUED_PER_SLOT {
             return Ok(());
         }
         let Some(last) = self.waiting.last_entry() else {
@@ -388,7 +388,7 @@
             state.mean_run = if state.mean_run.is_zero() {
                 run
             } else {
-                (state.mean_run * (MEAN_WEIGHT - 1) + run) / MEAN_WEIGHT
+                (state.mean_run * (MEAN_RUN_DIVISOR - 1) + run) / MEAN_RUN_DIVISOR
             };
         }
         self.gate.hand_out();
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -11,8 +11,8 @@
 
 use crate::config::delta::DocumentDelta;
 use crate::error::CodecError;
-use crate::gate::claim::{ClaimDemand, ClaimVerdict};
-use crate::gate::ledger::CallEnd;
+use crate::gate::claim::{ClaimOutcome, ClaimRequest};
+use crate::gate::ledger::CallResult;
 use crate::gate::outcome::RefusalReason;
 use crate::ids::{BootId, CallId, ConfigVersion, DataCentre, Incarnation, NodeAddress, Offset};
 use crate::member::record::{MemberRecord, TargetDeparture};
@@ -130,7 +130,7 @@
             version: ConfigVersion,
         },
         /// Asks a keeper to claim or release keys.
-        Claim(ClaimDemand),
+        Claim(ClaimRequest),
         /// Asks what became of a call, through a node that may reach its gate.
         Inquire {
             /// Where the gate takes calls.
@@ -178,7 +178,7 @@
         /// Who holds a version in one data centre.
         Holders(HolderReport),
         /// What became of claims, in the order asked.
-        Claimed(Vec<ClaimVerdict>),
+        Claimed(Vec<ClaimOutcome>),
         /// What a gate said of a call.
         Inquired(InquiryAnswer),
         /// What changed since the document that the asker holds.
@@ -190,7 +190,7 @@
         /// The call never started and never will.
         NotRun(RefusalReason),
         /// The call ended.
-        Ended(CallEnd),
+        Ended(CallResult),
         /// The gate cannot say.
         Unknown,
     }
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -8,11 +8,11 @@
 
 /// Retries a second allowed at any rate of calls, so that a service with few
 /// calls can be retried at all.
-pub const FLOOR_PER_SECOND: f64 = 1.0;
+pub const MIN_RETRIES_PER_SECOND: f64 = 1.0;
 
 /// Most retries kept. A burst of failures may spend what some seconds of calls
 /// have earned, not what a quiet night has.
-pub const MOST_TOKENS: f64 = 100.0;
+pub const MAX_TOKENS: f64 = 100.0;
 
 /// Time over which unused retries are kept.
 pub const BUDGET_WINDOW: Duration = Duration::from_secs(10);
@@ -30,10 +30,10 @@
 
 /// Part of a shared limit that is used. A retry makes its own calls again, and
 /// those count as retries of other services, which no node here can see.
-const SHARED_USE: f64 = 0.4;
+const SHARED_LIMIT_FRACTION: f64 = 0.4;
 
 /// Least number of retries that one node keeps of a shared slack.
-const LEAST_SHARE: f64 = 2.0;
+const MIN_SHARED_TOKENS: f64 = 2.0;
 
 /// How the tokens of one node are earned and kept.
 #[derive(Debug, Clone, Copy)]
@@ -46,9 +46,9 @@
 impl TokenRate {
     fn alone() -> Self {
         Self {
-            floor_per_second: FLOOR_PER_SECOND,
-            floor: FLOOR_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
-            most: MOST_TOKENS,
+            floor_per_second: MIN_RETRIES_PER_SECOND,
+            floor: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
+            most: MAX_TOKENS,
         }
     }
 
@@ -56,9 +56,9 @@
     /// is also what it earns in a window, and the two together stay below the
     /// slack when all nodes spend theirs, but for the least that each may keep.
     fn share_of(limit: RetryLimit, members: usize) -> Self {
-        let share = limit.slack * SHARED_USE / members.max(1) as f64;
+        let share = limit.slack * SHARED_LIMIT_FRACTION / members.max(1) as f64;
         let floor_per_second = share / limit.window.as_secs_f64().max(1.0);
-        let floor = share.max(LEAST_SHARE);
+        let floor = share.max(MIN_SHARED_TOKENS);
         Self {
             floor_per_second,
             floor,
@@ -88,7 +88,7 @@
         let updated = clock.now();
         Self {
             state: Mutex::new(BudgetState {
-                tokens: FLOOR_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
+                tokens: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
                 rate: TokenRate::alone(),
                 updated,
             }),
@@ -119,9 +119,9 @@
     }
 
     /// Counts a first attempt, which earns a share of a retry.
-    pub fn note_call(&self, share: Percent) {
+    pub fn record_call(&self, share: Percent) {
         let share = match self.limit {
-            Some(limit) => limit.ratio * SHARED_USE,
+            Some(limit) => limit.ratio * SHARED_LIMIT_FRACTION,
             None => f64::from(share.0) / 100.0,
         };
         let mut state = lock(&self.state);
--- a/src/retry/deadline.rs
+++ b/src/retry/deadline.rs
@@ -8,7 +8,7 @@
 use crate::clock::SharedClock;
 
 /// Time that an attempt needs at least; none starts with less left.
-pub const LEAST_ATTEMPT: Duration = Duration::from_millis(2);
+pub const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(2);
 
 /// When a call must have its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,7 +19,7 @@
 impl CallDeadline {
     /// Returns the deadline of a call that arrives now: the route's time, or
     /// less when the caller asks for less.
-    pub fn of_call(clock: &SharedClock, route: Duration, asked: Option<Duration>) -> Self {
+    pub fn for_call(clock: &SharedClock, route: Duration, asked: Option<Duration>) -> Self {
         let time = asked.map_or(route, |asked| asked.min(route));
         Self {
             at: clock.now() + time,
@@ -38,6 +38,6 @@
 
     /// Tells whether an attempt that starts now can still be of use.
     pub fn allows_attempt(self, now: Instant) -> bool {
-        self.remaining(now) >= LEAST_ATTEMPT
+        self.remaining(now) >= MIN_ATTEMPT_TIME
     }
 }
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -7,10 +7,10 @@
 use proptest::prelude::*;
 use wisteriaturn::clock::{Clock, ManualClock, SharedClock};
 use wisteriaturn::config::resource::CallClass;
-use wisteriaturn::gate::claim::{ClaimBatch, ClaimFold, ClaimHolder, ClaimItem, ClaimVerdict};
-use wisteriaturn::gate::ledger::{CallEnd, CallInquiry, CallLedger, CallTicket, KeptAnswer};
+use wisteriaturn::gate::claim::{ClaimBatch, ClaimHolder, ClaimItem, ClaimOutcome, ClaimTable};
+use wisteriaturn::gate::ledger::{CallLedger, CallResult, CallStatus, CallTicket, StoredAnswer};
 use wisteriaturn::gate::outcome::RefusalReason;
-use wisteriaturn::gate::quarantine::{QUARANTINE_TIME, RequestStanding, SuspectTable};
+use wisteriaturn::gate::quarantine::{QUARANTINE_DURATION, QuarantineStatus, SuspectTable};
 use wisteriaturn::gate::slots::{SlotGate, SlotPermit};
 use wisteriaturn::ids::{BootId, CallId, Fingerprint, KeyHash, NodeAddress};
 use wisteriaturn::invariant::{INVARIANTS, violations};
@@ -146,7 +146,7 @@
         for step in steps {
             match step {
                 LedgerStep::Enter(call) => {
-                    if let Ok(ticket) = ledger.enter(CallId(call.into())) {
+                    if let Ok(ticket) = ledger.register(CallId(call.into())) {
                         // The same call is entered again only after it is forgotten.
                         tickets[usize::from(call)] = Some(ticket);
                     }
@@ -165,21 +165,21 @@
                     let place = usize::from(call);
                     if let Some(ticket) = tickets[place].take() {
                         let end = if started[place] > 0 {
-                            CallEnd::Answered(KeptAnswer {
+                            CallResult::Answered(StoredAnswer {
                                 status: 200,
                                 headers: Vec::new(),
                                 body: bytes::Bytes::new(),
                             })
                         } else {
-                            CallEnd::Refused(RefusalReason::Saturated)
+                            CallResult::Refused(RefusalReason::Saturated)
                         };
-                        ticket.end(end);
+                        ticket.finish(end);
                     }
                 }
                 LedgerStep::Drop(call) => tickets[usize::from(call)] = None,
                 LedgerStep::Revoke(call) => {
                     let place = usize::from(call);
-                    if let CallInquiry::NotRun(_) = ledger.revoke(CallId(call.into())) {
+                    if let CallStatus::NotRun(_) = ledger.revoke(CallId(call.into())) {
                         // A call that ran is remembered for as long as anyone
                         // may ask; this run stays below that time.
                         prop_assert_eq!(started[place], 0);
@@ -222,47 +222,47 @@
 
 #[test]
 fn the_first_claim_wins_until_it_is_released_or_expires() {
-    let mut fold = ClaimFold::default();
+    let mut table = ClaimTable::default();
     assert_eq!(
-        fold.fold(&batch(1, 0, vec![claim(7, 1)])),
-        [ClaimVerdict::Won]
+        table.apply(&batch(1, 0, vec![claim(7, 1)])),
+        [ClaimOutcome::Won]
     );
-    let lost = ClaimVerdict::Lost(holder(1));
-    assert_eq!(fold.fold(&batch(2, 10, vec![claim(7, 2)])), [lost]);
+    let lost = ClaimOutcome::Lost(holder(1));
+    assert_eq!(table.apply(&batch(2, 10, vec![claim(7, 2)])), [lost]);
     // The same run asks again after a lost answer.
     assert_eq!(
-        fold.fold(&batch(3, 20, vec![claim(7, 1)])),
-        [ClaimVerdict::Won]
+        table.apply(&batch(3, 20, vec![claim(7, 1)])),
+        [ClaimOutcome::Won]
     );
     let release = |run| ClaimItem::Release {
         key: KeyHash(7),
         run: CallId(run),
     };
     // Only the holder's release frees the key.
-    fold.fold(&batch(4, 30, vec![release(2)]));
-    assert_eq!(fold.holder(KeyHash(7)), Some(&holder(1)));
-    fold.fold(&batch(5, 40, vec![release(1)]));
+    table.apply(&batch(4, 30, vec![release(2)]));
+    assert_eq!(table.holder(KeyHash(7)), Some(&holder(1)));
+    table.apply(&batch(5, 40, vec![release(1)]));
     assert_eq!(
-        fold.fold(&batch(6, 50, vec![claim(7, 3)])),
-        [ClaimVerdict::Won]
+        table.apply(&batch(6, 50, vec![claim(7, 3)])),
+        [ClaimOutcome::Won]
     );
     assert_eq!(
-        fold.fold(&batch(7, 1_050, vec![claim(7, 4)])),
-        [ClaimVerdict::Won]
+        table.apply(&batch(7, 1_050, vec![claim(7, 4)])),
+        [ClaimOutcome::Won]
     );
-    fold.fold(b"noise");
-    assert_eq!(fold.next().0, 8);
+    table.apply(b"noise");
+    assert_eq!(table.next_offset().0, 8);
 }
 
 #[test]
 fn a_key_is_forgotten_when_no_record_can_meet_it_alive() {
     let slack = Duration::from_millis(100);
-    let mut fold = ClaimFold::default();
-    fold.fold(&batch(1, 0, vec![claim(7, 1)]));
-    fold.forget_expired(1_099, slack);
-    assert_eq!(fold.len(), 1);
-    fold.forget_expired(1_100, slack);
-    assert!(fold.is_empty());
+    let mut table = ClaimTable::default();
+    table.apply(&batch(1, 0, vec![claim(7, 1)]));
+    table.remove_expired(1_099, slack);
+    assert_eq!(table.len(), 1);
+    table.remove_expired(1_100, slack);
+    assert!(table.is_empty());
 }
 
 proptest! {
@@ -273,17 +273,17 @@
         // Each keeper answers from its own fold of the one stream, however the
         // records of both are mixed in it.
         let mut stream: Vec<Vec<u8>> = Vec::new();
-        let mut folds = [ClaimFold::default(), ClaimFold::default()];
+        let mut tables = [ClaimTable::default(), ClaimTable::default()];
         let mut winners: std::collections::HashMap<u128, u128> = Default::default();
         for (index, (key, run, keeper)) in claims.into_iter().enumerate() {
             stream.push(batch(index as u128, index as u64, vec![claim(key, run)]));
-            let fold = &mut folds[usize::from(keeper)];
+            let table = &mut tables[usize::from(keeper)];
             let mut verdict = Vec::new();
-            while (fold.next().0 as usize) < stream.len() {
-                let next = fold.next().0 as usize;
-                verdict = fold.fold(&stream[next]);
+            while (table.next_offset().0 as usize) < stream.len() {
+                let next = table.next_offset().0 as usize;
+                verdict = table.apply(&stream[next]);
             }
-            if verdict == [ClaimVerdict::Won] {
+            if verdict == [ClaimOutcome::Won] {
                 let winner = winners.entry(key).or_insert(run);
                 prop_assert_eq!(*winner, run);
             }
@@ -296,31 +296,28 @@
     let now = Instant::now();
     let mut table = SuspectTable::new();
     let (bad, page) = (Fingerprint(1), Fingerprint(2));
-    assert!(table.note_loss(bad, address(1), 5, now));
+    assert!(table.record_target_loss(bad, address(1), 5, now));
     assert!(
-        !table.note_loss(bad, address(1), 5, now),
+        !table.record_target_loss(bad, address(1), 5, now),
         "news comes twice"
     );
-    assert_eq!(table.standing(bad, now), RequestStanding::Suspect);
+    assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
     assert!(
-        table.note_loss(bad, address(1), 6, now),
+        table.record_target_loss(bad, address(1), 6, now),
         "the same target again"
     );
-    assert_eq!(table.standing(bad, now), RequestStanding::Suspect);
-    table.note_loss(bad, address(2), 1, now);
-    let until = now + QUARANTINE_TIME;
-    assert_eq!(
-        table.standing(bad, now),
-        RequestStanding::Quarantined(until)
-    );
+    assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
+    table.record_target_loss(bad, address(2), 1, now);
+    let until = now + QUARANTINE_DURATION;
+    assert_eq!(table.status(bad, now), QuarantineStatus::Quarantined(until));
     // A late success elsewhere does not end it, time does.
-    assert!(!table.note_success(bad));
-    assert_eq!(table.standing(bad, until), RequestStanding::Clean);
+    assert!(!table.record_success(bad));
+    assert_eq!(table.status(bad, until), QuarantineStatus::Clean);
 
-    table.note_loss(page, address(1), 7, now);
-    assert!(table.note_success(page), "a success clears a suspect");
-    assert_eq!(table.standing(page, now), RequestStanding::Clean);
-    assert!(table.has_succeeded(page));
+    table.record_target_loss(page, address(1), 7, now);
+    assert!(table.record_success(page), "a success clears a suspect");
+    assert_eq!(table.status(page, now), QuarantineStatus::Clean);
+    assert!(table.has_recent_success(page));
 }
 
 proptest! {
@@ -335,7 +332,7 @@
         let mut news = 0;
         for (is_loss, host, loss) in repeats {
             let is_new = if is_loss {
-                table.note_loss(Fingerprint(1), address(host), loss, now)
+                table.record_target_loss(Fingerprint(1), address(host), loss, now)
             } else {
                 table.clear(Fingerprint(1))
             };
--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -5,7 +5,7 @@
 use wisteriaturn::config::fold::ConfigState;
 use wisteriaturn::config::snapshot::decode_snapshot;
 use wisteriaturn::error::CodecError;
-use wisteriaturn::gate::claim::{ClaimBatch, ClaimFold};
+use wisteriaturn::gate::claim::{ClaimBatch, ClaimTable};
 use wisteriaturn::peer::auth::MeshKeys;
 use wisteriaturn::peer::frame::{MIN_COMPRESSED_BYTES, decode_frame, encode_frame};
 use wisteriaturn::peer::message::{
@@ -30,7 +30,7 @@
         let _ = ClaimBatch::try_from(bytes.as_slice());
         let _ = decode_snapshot(&bytes);
         ConfigState::new().fold(&bytes);
-        ClaimFold::default().fold(&bytes);
+        ClaimTable::default().apply(&bytes);
     }
 
     #[test]
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -19,7 +19,7 @@
 use wisteriaturn::config::resource::{CallClass, PolicySpec};
 use wisteriaturn::config::view::TargetEntry;
 use wisteriaturn::gate::outcome::RefusalReason;
-use wisteriaturn::gate::slots::{QueueRank, SlotDemand, SlotGate, SlotPermit};
+use wisteriaturn::gate::slots::{QueueRank, SlotGate, SlotPermit, SlotRequest};
 use wisteriaturn::ids::{CallPriority, Incarnation, LinkRate, NodeAddress, RouteName};
 use wisteriaturn::route::choose::NodeLocation;
 use wisteriaturn::route::cost::{CallRequirements, PlacementRequest, choose_cheapest_target};
@@ -292,11 +292,11 @@
 
     fn reach(&mut self, call: usize) {
         let held = &self.calls[call];
-        let demand = SlotDemand {
+        let demand = SlotRequest {
             rank: QueueRank::new(CallClass::Interactive, CallPriority(0)),
             aim: held.came + self.pattern.aim,
             deadline: held.came + self.pattern.deadline,
-            run: self.pattern.work,
+            expected_run: self.pattern.work,
             patience: held.patience,
         };
         let gate = self.gates[held.target].clone();
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -10,7 +10,7 @@
 use wisteriaturn::config::resource::{CallClass, PolicySpec};
 use wisteriaturn::config::view::TargetEntry;
 use wisteriaturn::gate::outcome::RefusalReason;
-use wisteriaturn::gate::slots::{QueueRank, SlotDemand, SlotGate};
+use wisteriaturn::gate::slots::{QueueRank, SlotGate, SlotRequest};
 use wisteriaturn::ids::{CallPriority, Incarnation, LinkRate, NodeAddress, RouteName};
 use wisteriaturn::retry::budget::{RetryBudget, RetryLimit};
 use wisteriaturn::route::choose::{NodeLocation, TargetChoice};
@@ -37,19 +37,19 @@
     (gate, clock, held.expect("a free slot"))
 }
 
-fn demand(clock: &ManualClock, priority: u8, aim: u64, deadline: u64) -> SlotDemand {
-    SlotDemand {
+fn demand(clock: &ManualClock, priority: u8, aim: u64, deadline: u64) -> SlotRequest {
+    SlotRequest {
         patience: Duration::MAX,
         rank: QueueRank::new(CallClass::Interactive, CallPriority(priority)),
         aim: clock.now() + ms(aim),
         deadline: clock.now() + ms(deadline),
-        run: ms(100),
+        expected_run: ms(100),
     }
 }
 
 async fn wait_in(
     gate: &SlotGate,
-    demand: SlotDemand,
+    demand: SlotRequest,
 ) -> tokio::task::JoinHandle<Option<RefusalReason>> {
     let waiting = gate.load().waiting;
     let other = gate.clone();
@@ -137,9 +137,9 @@
 #[tokio::test]
 async fn a_free_slot_is_never_refused_and_room_is_told() {
     let (gate, clock, held) = busy_gate().await;
-    assert_eq!(gate.load().room_after(), ms(100));
+    assert_eq!(gate.load().expected_wait(), ms(100));
     drop(held);
-    assert_eq!(gate.load().room_after(), Duration::ZERO);
+    assert_eq!(gate.load().expected_wait(), Duration::ZERO);
     let late = demand(&clock, 9, 1, 1_000);
     assert!(
         gate.acquire_for(late).await.is_ok(),
@@ -164,7 +164,7 @@
         for _ in 0..100 {
             for budget in &budgets {
                 for _ in 0..calls_each.div_ceil(100) {
-                    budget.note_call(wisteriaturn::ids::Percent(0));
+                    budget.record_call(wisteriaturn::ids::Percent(0));
                     spent += u32::from(budget.try_take()) + u32::from(budget.try_take());
                 }
                 spent += u32::from(budget.try_take());
@@ -315,7 +315,7 @@
 #[tokio::test]
 async fn a_call_is_sent_on_when_the_wait_is_longer_than_it_wants() {
     let (gate, clock, held) = busy_gate().await;
-    let patient = |patience: u64| SlotDemand {
+    let patient = |patience: u64| SlotRequest {
         patience: ms(patience),
         ..demand(&clock, 0, 5_000, 10_000)
     };
--- a/tests/integration/route_rules.rs
+++ b/tests/integration/route_rules.rs
@@ -203,7 +203,7 @@
         let budget = RetryBudget::new(Arc::clone(&clock) as SharedClock);
         let mut retries = 0;
         for _ in 0..calls {
-            budget.note_call(Percent(percent));
+            budget.record_call(Percent(percent));
             retries += u32::from(budget.try_take());
             clock.advance(Duration::from_millis(step_ms));
         }
@@ -218,11 +218,11 @@
     let clock = ManualClock::new();
     let shared: SharedClock = Arc::clone(&clock) as SharedClock;
     let route = Duration::from_secs(2);
-    let of = |asked| CallDeadline::of_call(&shared, route, asked).remaining(clock.now());
+    let of = |asked| CallDeadline::for_call(&shared, route, asked).remaining(clock.now());
     assert_eq!(of(None), route);
     assert_eq!(of(Some(Duration::from_secs(9))), route);
     assert_eq!(of(Some(Duration::from_millis(5))), Duration::from_millis(5));
-    let deadline = CallDeadline::of_call(&shared, route, None);
+    let deadline = CallDeadline::for_call(&shared, route, None);
     clock.advance(Duration::from_millis(1_999));
     assert!(!deadline.allows_attempt(clock.now()));
 }
--- a/tests/integration/target_lives.rs
+++ b/tests/integration/target_lives.rs
@@ -7,7 +7,9 @@
 use wisteriaturn::config::fold::ConfigState;
 use wisteriaturn::config::resource::{PolicySpec, Resource, ServiceSpec};
 use wisteriaturn::config::validate::Rejection;
-use wisteriaturn::gate::announce::{AnnounceBook, LIFE_LIMIT, TargetStatement};
+use wisteriaturn::gate::announce::{
+    AnnouncementSummary, AnnouncementTracker, MAX_TRACKED_INSTANCES,
+};
 use wisteriaturn::ids::{ConfigVersion, Incarnation, InstanceId, Percent, Sequence, SlotCount};
 use wisteriaturn::member::record::MAX_DEPARTURES;
 
@@ -15,8 +17,8 @@
     name.parse().expect("a name")
 }
 
-fn statement(name: &str, born: u64, sequence: u64, port: u16) -> TargetStatement {
-    TargetStatement {
+fn statement(name: &str, born: u64, sequence: u64, port: u16) -> AnnouncementSummary {
+    AnnouncementSummary {
         instance: instance(name),
         incarnation: Incarnation(born),
         sequence: Sequence(sequence),
@@ -35,60 +37,72 @@
     dead_target_at_the_address = { statement("b", 9, 99, 80), false },
     other_address = { statement("b", 9, 0, 81), true },
 )]
-fn a_statement_counts_when_nothing_later_was_said(said: TargetStatement, counts: bool) {
-    let mut book = AnnounceBook::new();
-    assert!(book.note(statement("a", 10, 5, 80)));
-    assert_eq!(book.note(said), counts);
+fn a_statement_counts_when_nothing_later_was_said(said: AnnouncementSummary, counts: bool) {
+    let mut book = AnnouncementTracker::new();
+    assert!(book.accept(statement("a", 10, 5, 80)));
+    assert_eq!(book.accept(said), counts);
 }
 
 #[test]
 fn a_life_that_left_stays_gone_and_the_next_one_counts() {
-    let mut book = AnnounceBook::new();
+    let mut book = AnnouncementTracker::new();
     let now = Incarnation(100);
-    assert!(book.note(statement("a", 10, 5, 80)));
-    assert!(book.leave(&instance("a"), Some(Incarnation(10)), now));
-    assert!(!book.note(statement("a", 10, 6, 80)), "a late announcement");
-    assert!(book.note(statement("a", 11, 0, 80)));
+    assert!(book.accept(statement("a", 10, 5, 80)));
+    assert!(book.record_departure(&instance("a"), Some(Incarnation(10)), now));
+    assert!(
+        !book.accept(statement("a", 10, 6, 80)),
+        "a late announcement"
+    );
+    assert!(book.accept(statement("a", 11, 0, 80)));
     // The leave of the life before arrives once more.
-    assert!(!book.leave(&instance("a"), Some(Incarnation(10)), now));
-    assert!(book.note(statement("a", 11, 1, 80)));
+    assert!(!book.record_departure(&instance("a"), Some(Incarnation(10)), now));
+    assert!(book.accept(statement("a", 11, 1, 80)));
 }
 
 #[test]
 fn a_restarted_node_is_told_who_left() {
-    let mut before = AnnounceBook::new();
-    let draining = TargetStatement {
+    let mut before = AnnouncementTracker::new();
+    let draining = AnnouncementSummary {
         is_draining: true,
         ..statement("a", 10, 5, 80)
     };
-    assert!(before.note(draining));
-    assert!(before.note(statement("b", 20, 1, 81)));
-    assert!(before.leave(&instance("b"), None, Incarnation(100)));
-    assert!(before.note(statement("c", 30, 1, 82)), "c does not leave");
+    assert!(before.accept(draining));
+    assert!(before.accept(statement("b", 20, 1, 81)));
+    assert!(before.record_departure(&instance("b"), None, Incarnation(100)));
+    assert!(before.accept(statement("c", 30, 1, 82)), "c does not leave");
 
-    let mut after = AnnounceBook::new();
+    let mut after = AnnouncementTracker::new();
     assert!(after.restore(&before.departures()));
-    assert!(!after.note(statement("a", 10, 4, 80)), "late words");
+    assert!(!after.accept(statement("a", 10, 4, 80)), "late words");
     assert!(after.is_departing(&instance("a"), Incarnation(10)));
-    assert!(!after.note(statement("b", 20, 2, 81)), "the life has ended");
     assert!(
-        !after.note(statement("d", 19, 0, 81)),
+        !after.accept(statement("b", 20, 2, 81)),
+        "the life has ended"
+    );
+    assert!(
+        !after.accept(statement("d", 19, 0, 81)),
         "an earlier life at b's address"
     );
-    assert!(after.note(statement("c", 30, 0, 82)), "c was not told of");
+    assert!(after.accept(statement("c", 30, 0, 82)), "c was not told of");
     assert!(!after.restore(&before.departures()), "nothing of it is new");
-    assert!(after.note(statement("a", 10, 6, 80)), "a returned to work");
+    assert!(
+        after.accept(statement("a", 10, 6, 80)),
+        "a returned to work"
+    );
     assert!(!after.is_departing(&instance("a"), Incarnation(10)));
-    assert!(after.note(statement("b", 21, 0, 81)), "b began a new life");
+    assert!(
+        after.accept(statement("b", 21, 0, 81)),
+        "b began a new life"
+    );
 }
 
 #[test]
 fn a_member_record_names_the_latest_departures_only() {
-    let mut book = AnnounceBook::new();
+    let mut book = AnnouncementTracker::new();
     for born in 1..=9 {
         let name = format!("t-{born}");
-        assert!(book.note(statement(&name, born, 0, 80)));
-        assert!(book.leave(&instance(&name), None, Incarnation(100)));
+        assert!(book.accept(statement(&name, born, 0, 80)));
+        assert!(book.record_departure(&instance(&name), None, Incarnation(100)));
     }
     let born: Vec<u64> = book
         .departures()
@@ -103,27 +117,36 @@
 fn a_leave_that_comes_before_the_announcements_binds_as_well() {
     // The node was restarted: it hears first that the target leaves, and then
     // what the target said before.
-    let mut book = AnnounceBook::new();
+    let mut book = AnnouncementTracker::new();
     let now = Incarnation(100);
-    assert!(!book.leave(&instance("a"), None, now), "it is not known");
-    assert!(!book.note(statement("a", 10, 5, 80)), "a late announcement");
     assert!(
-        book.note(statement("a", 101, 0, 80)),
+        !book.record_departure(&instance("a"), None, now),
+        "it is not known"
+    );
+    assert!(
+        !book.accept(statement("a", 10, 5, 80)),
+        "a late announcement"
+    );
+    assert!(
+        book.accept(statement("a", 101, 0, 80)),
         "a life that began later"
     );
-    assert!(!book.leave(&instance("b"), Some(Incarnation(20)), now));
-    assert!(!book.note(statement("b", 20, 7, 80)), "the life that left");
+    assert!(!book.record_departure(&instance("b"), Some(Incarnation(20)), now));
+    assert!(
+        !book.accept(statement("b", 20, 7, 80)),
+        "the life that left"
+    );
 }
 
 #[test]
 fn strangers_cannot_make_the_book_grow() {
-    let mut book = AnnounceBook::new();
-    for number in 0..(LIFE_LIMIT as u64 * 3) {
+    let mut book = AnnouncementTracker::new();
+    for number in 0..(MAX_TRACKED_INSTANCES as u64 * 3) {
         let name = format!("t-{number}");
-        assert!(book.note(statement(&name, 100 + number, 0, 80)));
+        assert!(book.accept(statement(&name, 100 + number, 0, 80)));
     }
     assert!(
-        !book.note(statement("t-1", 50, 0, 80)),
+        !book.accept(statement("t-1", 50, 0, 80)),
         "the address is newer"
     );
 }
--- a/wisteriaturnd/src/claims/desk.rs
+++ b/wisteriaturnd/src/claims/desk.rs
@@ -11,7 +11,8 @@
 use tokio::time::timeout_at;
 use wisteriaturn::clock::lock;
 use wisteriaturn::gate::claim::{
-    BATCH_LIMIT, CLAIM_STREAMS, ClaimDemand, ClaimHolder, ClaimItem, ClaimVerdict, stream_of,
+    CLAIM_STREAM_COUNT, ClaimHolder, ClaimItem, ClaimOutcome, ClaimRequest, MAX_BATCH_ITEMS,
+    stream_for_key,
 };
 use wisteriaturn::ids::{CallId, KeyHash, NodeAddress};
 use wisteriaturn::member::role::keeper;
@@ -35,7 +36,7 @@
 struct QueuedItem {
     item: ClaimItem,
     until: Instant,
-    reply: oneshot::Sender<ClaimVerdict>,
+    reply: oneshot::Sender<ClaimOutcome>,
 }
 
 /// Takes claims and releases; the tasks behind it send them to keepers.
@@ -53,14 +54,14 @@
 impl ClaimDesk {
     /// Returns a desk and its queues.
     pub fn new() -> (Self, ClaimQueues) {
-        let (senders, receivers) = (0..CLAIM_STREAMS)
+        let (senders, receivers) = (0..CLAIM_STREAM_COUNT)
             .map(|_| mpsc::channel(QUEUE_LIMIT))
             .unzip();
         (Self { queues: senders }, ClaimQueues { queues: receivers })
     }
 
     /// Claims a key for a run, waiting until `until` at most.
-    pub async fn claim(&self, key: KeyHash, holder: ClaimHolder, until: Instant) -> ClaimVerdict {
+    pub async fn claim(&self, key: KeyHash, holder: ClaimHolder, until: Instant) -> ClaimOutcome {
         self.put(key, ClaimItem::Claim { key, holder }, until).await
     }
 
@@ -74,18 +75,18 @@
         });
     }
 
-    async fn put(&self, key: KeyHash, item: ClaimItem, until: Instant) -> ClaimVerdict {
+    async fn put(&self, key: KeyHash, item: ClaimItem, until: Instant) -> ClaimOutcome {
         let (reply, verdict) = oneshot::channel();
         let queued = QueuedItem { item, until, reply };
-        let queue = &self.queues[stream_of(key) as usize];
+        let queue = &self.queues[stream_for_key(key) as usize];
         if queue.try_send(queued).is_err() {
-            return ClaimVerdict::Unavailable;
+            return ClaimOutcome::Unavailable;
         }
         // The task drops an item whose time is over, but it may be waiting for
         // a keeper just then.
         match timeout_at(until.into(), verdict).await {
             Ok(Ok(verdict)) => verdict,
-            Ok(Err(_)) | Err(_) => ClaimVerdict::Unavailable,
+            Ok(Err(_)) | Err(_) => ClaimOutcome::Unavailable,
         }
     }
 }
@@ -103,10 +104,10 @@
     let mut link: Option<(NodeAddress, PeerLink)> = None;
     let mut waiting: Vec<QueuedItem> = Vec::new();
     loop {
-        if waiting.is_empty() && queue.recv_many(&mut waiting, BATCH_LIMIT).await == 0 {
+        if waiting.is_empty() && queue.recv_many(&mut waiting, MAX_BATCH_ITEMS).await == 0 {
             return;
         }
-        while waiting.len() < BATCH_LIMIT
+        while waiting.len() < MAX_BATCH_ITEMS
             && let Ok(item) = queue.try_recv()
         {
             waiting.push(item);
@@ -116,7 +117,7 @@
         if waiting.is_empty() {
             continue;
         }
-        let demand = ClaimDemand {
+        let demand = ClaimRequest {
             stream,
             items: waiting.iter().map(|queued| queued.item.clone()).collect(),
         };
@@ -129,12 +130,12 @@
 }
 
 /// Answers the items that have a verdict and returns the others.
-fn settle(waiting: Vec<QueuedItem>, verdicts: Option<Vec<ClaimVerdict>>) -> Vec<QueuedItem> {
+fn settle(waiting: Vec<QueuedItem>, verdicts: Option<Vec<ClaimOutcome>>) -> Vec<QueuedItem> {
     let verdicts = verdicts.unwrap_or_default();
     let mut left = Vec::new();
     for (index, queued) in waiting.into_iter().enumerate() {
         match verdicts.get(index) {
-            Some(ClaimVerdict::Unavailable) | None => left.push(queued),
+            Some(ClaimOutcome::Unavailable) | None => left.push(queued),
             Some(verdict) => {
                 let _ = queued.reply.send(verdict.clone());
             }
@@ -146,8 +147,8 @@
 async fn send_demand(
     node: &NodeHandle,
     link: &mut Option<(NodeAddress, PeerLink)>,
-    demand: ClaimDemand,
-) -> Option<Vec<ClaimVerdict>> {
+    demand: ClaimRequest,
+) -> Option<Vec<ClaimOutcome>> {
     let home = node.settings.log_data_centre.as_ref();
     let keeper = keeper(&lock(&node.table), demand.stream, home)?;
     if keeper == node.address() {
--- a/wisteriaturnd/src/claims/keeper.rs
+++ b/wisteriaturnd/src/claims/keeper.rs
@@ -11,8 +11,8 @@
 use tokio::sync::{mpsc, oneshot};
 use wisteriaturn::error::LogError;
 use wisteriaturn::gate::claim::{
-    BATCH_LIMIT, CLAIM_STREAMS, ClaimBatch, ClaimDemand, ClaimFold, ClaimItem, ClaimVerdict,
-    KEY_LIMIT, stream_name,
+    CLAIM_STREAM_COUNT, ClaimBatch, ClaimItem, ClaimOutcome, ClaimRequest, ClaimTable,
+    MAX_BATCH_ITEMS, MAX_KEYS_PER_STREAM, stream_name,
 };
 use wisteriaturn::ids::{CallId, Offset};
 use wisteriaturn::log_port::ReadRequest;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct QueuedDemand {
     items: Vec<ClaimItem>,
-    reply: oneshot::Sender<Vec<ClaimVerdict>>,
+    reply: oneshot::Sender<Vec<ClaimOutcome>>,
 }
 
 /// Takes demands; a task for each stream writes them.
@@ -58,16 +58,16 @@
 impl ClaimKeeper {
     /// Returns a keeper and its queues.
     pub fn new() -> (Self, KeeperQueues) {
-        let (senders, receivers) = (0..CLAIM_STREAMS)
+        let (senders, receivers) = (0..CLAIM_STREAM_COUNT)
             .map(|_| mpsc::channel(QUEUE_LIMIT))
             .unzip();
         (Self { queues: senders }, KeeperQueues { queues: receivers })
     }
 
     /// Writes a demand and returns what became of its items.
-    pub async fn demand(&self, node: &NodeHandle, demand: ClaimDemand) -> Vec<ClaimVerdict> {
+    pub async fn demand(&self, node: &NodeHandle, demand: ClaimRequest) -> Vec<ClaimOutcome> {
         let count = demand.items.len();
-        let refused = || vec![ClaimVerdict::Unavailable; count];
+        let refused = || vec![ClaimOutcome::Unavailable; count];
         let Some(queue) = self.queues.get(demand.stream as usize) else {
             return refused();
         };
@@ -103,7 +103,7 @@
 struct StreamKeeper {
     node: NodeHandle,
     name: String,
-    fold: Option<ClaimFold>,
+    fold: Option<ClaimTable>,
     swept: Option<Instant>,
 }
 
@@ -137,14 +137,14 @@
         };
         for demand in demands {
             let count = demand.items.len();
-            let mut own: Vec<ClaimVerdict> = verdicts.by_ref().take(count).collect();
-            own.resize(count, ClaimVerdict::Unavailable);
+            let mut own: Vec<ClaimOutcome> = verdicts.by_ref().take(count).collect();
+            own.resize(count, ClaimOutcome::Unavailable);
             let _ = demand.reply.send(own);
         }
     }
 
     /// Appends a batch and folds the stream up to it.
-    async fn decide(&mut self, items: Vec<ClaimItem>) -> Result<Vec<ClaimVerdict>, LogError> {
+    async fn decide(&mut self, items: Vec<ClaimItem>) -> Result<Vec<ClaimOutcome>, LogError> {
         self.catch_up().await?;
         self.check_room(items.len())?;
         self.sweep();
@@ -183,7 +183,7 @@
         if is_due {
             self.swept = Some(now);
             let now_ms = self.node.clock.unix_millis();
-            self.fold().forget_expired(now_ms, CLOCK_SLACK);
+            self.fold().remove_expired(now_ms, CLOCK_SLACK);
         }
     }
 
@@ -192,7 +192,7 @@
         if self.fold.is_some() {
             return Ok(());
         }
-        self.fold = Some(ClaimFold::starting_at(Offset(0)));
+        self.fold = Some(ClaimTable::starting_at(Offset(0)));
         let read = self.read_to_end(None).await;
         if read.is_err() {
             self.fold = None;
@@ -206,13 +206,13 @@
         &mut self,
         offset: Offset,
         record: &[u8],
-    ) -> Result<Vec<ClaimVerdict>, LogError> {
+    ) -> Result<Vec<ClaimOutcome>, LogError> {
         loop {
             let fold = self.fold();
-            if fold.next() == offset {
-                return Ok(fold.fold(record));
+            if fold.next_offset() == offset {
+                return Ok(fold.apply(record));
             }
-            let from = fold.next();
+            let from = fold.next_offset();
             let limit = usize::try_from(offset.0.saturating_sub(from.0)).unwrap_or(READ_LIMIT);
             if limit == 0 {
                 // The fold is past the offset: the answer was an old one.
@@ -223,16 +223,16 @@
     }
 
     /// Looks for the own record after an append whose answer was lost.
-    async fn find_own(&mut self, id: CallId) -> Result<Option<Vec<ClaimVerdict>>, LogError> {
+    async fn find_own(&mut self, id: CallId) -> Result<Option<Vec<ClaimOutcome>>, LogError> {
         self.read_to_end(Some(id)).await
     }
 
     async fn read_to_end(
         &mut self,
         own: Option<CallId>,
-    ) -> Result<Option<Vec<ClaimVerdict>>, LogError> {
+    ) -> Result<Option<Vec<ClaimOutcome>>, LogError> {
         loop {
-            let from = self.fold().next();
+            let from = self.fold().next_offset();
             let (found, is_end) = self.read_some(from, READ_LIMIT, own).await?;
             if found.is_some() || is_end {
                 return Ok(found);
@@ -245,7 +245,7 @@
         from: Offset,
         limit: usize,
         own: Option<CallId>,
-    ) -> Result<(Option<Vec<ClaimVerdict>>, bool), LogError> {
+    ) -> Result<(Option<Vec<ClaimOutcome>>, bool), LogError> {
         let request = ReadRequest {
             stream: self.name.clone(),
             from,
@@ -257,35 +257,35 @@
             Err(LogError::Trimmed { first }) => {
                 // Retention is at least twice the key lifetime, so a trimmed
                 // record holds no live key.
-                self.fold = Some(ClaimFold::starting_at(first));
+                self.fold = Some(ClaimTable::starting_at(first));
                 return Ok((None, false));
             }
             Err(error) => return Err(error),
         };
         let fold = self.fold();
         for record in &batch.records {
-            let verdicts = fold.fold(&record.data);
+            let verdicts = fold.apply(&record.data);
             let id = ClaimBatch::try_from(record.data.as_ref()).map(|batch| batch.id);
             if own.is_some() && id.ok() == own {
                 return Ok((Some(verdicts), false));
             }
         }
-        Ok((None, fold.next() >= batch.next))
+        Ok((None, fold.next_offset() >= batch.next))
     }
 
-    fn fold(&mut self) -> &mut ClaimFold {
-        self.fold.get_or_insert_with(ClaimFold::default)
+    fn fold(&mut self) -> &mut ClaimTable {
+        self.fold.get_or_insert_with(ClaimTable::default)
     }
 
     /// Makes room for new keys, or refuses them: a keeper's memory is bounded,
     /// and a call whose key is not claimed is truthfully `not-run`.
     fn check_room(&mut self, items: usize) -> Result<(), LogError> {
-        if self.fold().len() + items <= KEY_LIMIT {
+        if self.fold().len() + items <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
         let now_ms = self.node.clock.unix_millis();
-        self.fold().forget_expired(now_ms, CLOCK_SLACK);
-        if self.fold().len() + items <= KEY_LIMIT {
+        self.fold().remove_expired(now_ms, CLOCK_SLACK);
+        if self.fold().len() + items <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
         self.node.metrics.note_drop("claim-keys-over-limit");
@@ -296,7 +296,7 @@
 fn gather(first: QueuedDemand, queue: &mut mpsc::Receiver<QueuedDemand>) -> Vec<QueuedDemand> {
     let mut count = first.items.len();
     let mut demands = vec![first];
-    while count < BATCH_LIMIT
+    while count < MAX_BATCH_ITEMS
         && let Ok(demand) = queue.try_recv()
     {
         count += demand.items.len();
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -10,8 +10,8 @@
 use tokio::time::timeout_at;
 use wisteriaturn::clock::lock;
 use wisteriaturn::gate::outcome::RefusalReason;
-use wisteriaturn::gate::quarantine::RequestStanding;
-use wisteriaturn::gate::slots::{LIKELY_RUN, QueueRank, SlotDemand, SlotPermit};
+use wisteriaturn::gate::quarantine::QuarantineStatus;
+use wisteriaturn::gate::slots::{LIKELY_RUN_FACTOR, QueueRank, SlotPermit, SlotRequest};
 
 use crate::error::LinkError;
 use crate::gate::targets::{self, LocalTarget};
@@ -73,8 +73,8 @@
         NodeStage::Ready | NodeStage::LameDuck => {}
     }
     let now = node.clock.now();
-    let standing = lock(&node.suspects).standing(call.fingerprint, now);
-    if let RequestStanding::Quarantined(_) = standing {
+    let standing = lock(&node.suspects).status(call.fingerprint, now);
+    if let QuarantineStatus::Quarantined(_) = standing {
         return Err(RefusalReason::Quarantined);
     }
     let target = node
@@ -84,14 +84,14 @@
     let until = call.deadline.at();
     let run = expected_run(node, call, &target);
     let closes = *lock(&node.gate_closes);
-    if closes.is_some_and(|closes| now + run.mul_f64(LIKELY_RUN) > closes) {
+    if closes.is_some_and(|closes| now + run.mul_f64(LIKELY_RUN_FACTOR) > closes) {
         return Err(RefusalReason::Draining);
     }
-    let demand = SlotDemand {
+    let demand = SlotRequest {
         rank: QueueRank::new(call.class, call.priority),
         aim: call.aim.at(),
         deadline: until,
-        run,
+        expected_run: run,
         patience: call.patience,
     };
     let acquired = timeout_at(until.into(), target.gate.acquire_for(demand)).await;
--- a/wisteriaturnd/src/gate/answer.rs
+++ b/wisteriaturnd/src/gate/answer.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use wisteriaturn::gate::ledger::{CallEnd, KeptAnswer};
+use wisteriaturn::gate::ledger::{CallResult, StoredAnswer};
 use wisteriaturn::gate::outcome::{CallOutcome, RefusalReason};
 use wisteriaturn::peer::message::InquiryAnswer;
 
@@ -73,7 +73,7 @@
 }
 
 /// Returns a kept answer as a response.
-pub fn kept_response(answer: &KeptAnswer) -> Response<NodeBody> {
+pub fn kept_response(answer: &StoredAnswer) -> Response<NodeBody> {
     let mut response = Response::new(full(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
@@ -93,13 +93,13 @@
 pub fn inquiry_response(answer: &InquiryAnswer, reason: RefusalReason) -> Response<NodeBody> {
     match answer {
         InquiryAnswer::NotRun(why) => refusal(CallOutcome::NotRun, *why),
-        InquiryAnswer::Ended(CallEnd::Answered(kept)) => {
+        InquiryAnswer::Ended(CallResult::Answered(kept)) => {
             let mut response = kept_response(kept);
             headers::set(response.headers_mut(), headers::REPLAYED, true);
             response
         }
-        InquiryAnswer::Ended(CallEnd::Refused(why)) => refusal(CallOutcome::NotRun, *why),
-        InquiryAnswer::Ended(CallEnd::Lost | CallEnd::TooLarge) | InquiryAnswer::Unknown => {
+        InquiryAnswer::Ended(CallResult::Refused(why)) => refusal(CallOutcome::NotRun, *why),
+        InquiryAnswer::Ended(CallResult::Lost | CallResult::TooLarge) | InquiryAnswer::Unknown => {
             refusal(CallOutcome::Unknown, reason)
         }
     }
--- a/wisteriaturnd/src/gate/crash.rs
+++ b/wisteriaturnd/src/gate/crash.rs
@@ -23,7 +23,7 @@
     let fingerprint = call.fingerprint;
     match end {
         BodyEnd::Whole => {
-            let is_cleared = lock(&node.suspects).note_success(fingerprint);
+            let is_cleared = lock(&node.suspects).record_success(fingerprint);
             if is_cleared {
                 tokio::spawn(async move {
                     news::spread(&node, Rumor::Cleared { fingerprint }).await;
@@ -69,10 +69,10 @@
     let loss = node.next_loss();
     let is_new = {
         let mut suspects = lock(&node.suspects);
-        if suspects.has_succeeded(fingerprint) {
+        if suspects.has_recent_success(fingerprint) {
             return false;
         }
-        suspects.note_loss(fingerprint, node.address(), loss, now)
+        suspects.record_target_loss(fingerprint, node.address(), loss, now)
     };
     log::warn!(event = "suspect", fingerprint:% = fingerprint, target:% = address; "gate");
     if is_new {
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 use tokio_util::task::TaskTracker;
-use wisteriaturn::gate::ledger::CallInquiry;
+use wisteriaturn::gate::ledger::CallStatus;
 use wisteriaturn::gate::outcome::{CallOutcome, RefusalReason};
 use wisteriaturn::ids::{CallId, KeyHash, ServiceName};
 use wisteriaturn::peer::message::{InquiryAnswer, encode};
@@ -87,8 +87,8 @@
         priority: headers::parsed(map, &headers::PRIORITY).unwrap_or_default(),
         request_id: map.get(&node.edge.request_id).cloned(),
         route: headers::parsed(map, &headers::ROUTE),
-        aim: CallDeadline::of_call(&node.clock, left, aim),
-        deadline: CallDeadline::of_call(&node.clock, left, None),
+        aim: CallDeadline::for_call(&node.clock, left, aim),
+        deadline: CallDeadline::for_call(&node.clock, left, None),
         patience: headers::parsed(map, &headers::PATIENCE_MS)
             .map_or(Duration::MAX, Duration::from_millis),
         is_idempotent,
@@ -116,16 +116,16 @@
     let inquiry = if question == ASK_REVOKE {
         node.ledger.revoke(call)
     } else {
-        node.ledger.inquire(call)
+        node.ledger.status(call)
     };
     match inquiry {
-        CallInquiry::NotRun(reason) => InquiryAnswer::NotRun(reason),
-        CallInquiry::Ended(end) => {
+        CallStatus::NotRun(reason) => InquiryAnswer::NotRun(reason),
+        CallStatus::Ended(end) => {
             node.metrics.handovers.inc();
             InquiryAnswer::Ended(end.as_ref().clone())
         }
-        CallInquiry::Unknown => InquiryAnswer::Unknown,
-        CallInquiry::Running(mut receiver) => {
+        CallStatus::Unknown => InquiryAnswer::Unknown,
+        CallStatus::Running(mut receiver) => {
             let ended = timeout(ASK_TIME, receiver.wait_for(Option::is_some)).await;
             match ended {
                 Ok(Ok(end)) => {
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -13,8 +13,8 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use tokio::time::timeout_at;
-use wisteriaturn::gate::claim::{ClaimHolder, ClaimVerdict};
-use wisteriaturn::gate::ledger::{BODY_LIMIT, CallEnd, CallTicket, KeptAnswer};
+use wisteriaturn::gate::claim::{ClaimHolder, ClaimOutcome};
+use wisteriaturn::gate::ledger::{CallResult, CallTicket, MAX_STORED_BODY_BYTES, StoredAnswer};
 use wisteriaturn::gate::outcome::{CallOutcome, RefusalReason};
 use wisteriaturn::gate::slots::SlotPermit;
 use wisteriaturn::ids::KeyHash;
@@ -56,7 +56,7 @@
         if let Some(held) = route.and_then(|route| node.runs.measured(&route)) {
             headers::set(map, headers::MEAN_RUN_US, held.run.as_micros());
         }
-        headers::set(map, headers::ROOM_MS, load.room_after().as_millis());
+        headers::set(map, headers::ROOM_MS, load.expected_wait().as_millis());
     }
     response
 }
@@ -105,18 +105,18 @@
     call: GateCall,
     request: Request<NodeBody>,
 ) -> Response<NodeBody> {
-    let ticket = match node.ledger.enter(call.call) {
+    let ticket = match node.ledger.register(call.call) {
         Ok(ticket) => ticket,
         Err(reason) => return refusal(CallOutcome::NotRun, reason),
     };
     if let Some(key) = call.key {
         match claim(node, &call, key).await {
-            ClaimVerdict::Won => {}
-            ClaimVerdict::Lost(holder) => {
-                ticket.end(CallEnd::Refused(RefusalReason::ClaimLost));
+            ClaimOutcome::Won => {}
+            ClaimOutcome::Lost(holder) => {
+                ticket.finish(CallResult::Refused(RefusalReason::ClaimLost));
                 return ask_holder(node, &call, holder).await;
             }
-            ClaimVerdict::Unavailable => {
+            ClaimOutcome::Unavailable => {
                 // The claim may still reach the log, so it is freed as well.
                 return refuse(node, &call, ticket, RefusalReason::ClaimUnavailable);
             }
@@ -135,7 +135,7 @@
     ticket: CallTicket,
     reason: RefusalReason,
 ) -> Response<NodeBody> {
-    ticket.end(CallEnd::Refused(reason));
+    ticket.finish(CallResult::Refused(reason));
     if let Some(key) = call.key {
         node.claims.release(node, key, call.call);
     }
@@ -191,7 +191,7 @@
     /// Ends a run without a whole answer.
     async fn lose(self, reason: RefusalReason) -> Response<NodeBody> {
         drop(self.permit);
-        self.ticket.end(CallEnd::Lost);
+        self.ticket.finish(CallResult::Lost);
         lost(&self.node, &self.call, self.address, reason).await
     }
 
@@ -199,14 +199,14 @@
     /// lives, so there is no crash to look for.
     fn lose_unchecked(self) -> Response<NodeBody> {
         drop(self.permit);
-        self.ticket.end(CallEnd::Lost);
+        self.ticket.finish(CallResult::Lost);
         refusal(CallOutcome::Unknown, RefusalReason::TargetLost)
     }
 
     /// Ends a call of which its target said that it did not run it.
     fn take_back(self) -> Response<NodeBody> {
         drop(self.permit);
-        self.ticket.end_unrun(RefusalReason::TargetBusy);
+        self.ticket.finish_not_run(RefusalReason::TargetBusy);
         if let Some(key) = self.call.key {
             self.node.claims.release(&self.node, key, self.call.call);
         }
@@ -216,7 +216,7 @@
     /// Reads the answer, so that it can be kept until it is whole.
     async fn deliver(self, response: Response<Incoming>, link: PooledLink) -> Response<NodeBody> {
         let (parts, body) = response.into_parts();
-        let kept = KeptAnswer {
+        let kept = StoredAnswer {
             status: parts.status.as_u16(),
             headers: kept_headers(parts.headers),
             body: Bytes::new(),
@@ -224,29 +224,29 @@
         let stall = self.node.settings.tuning.stall_timeout;
         let body = pooled_body(body, link, &self.node.target_pool, stall, |_| ());
         let until = self.call.deadline.at().into();
-        match timeout_at(until, RequestBody::read(body, BODY_LIMIT)).await {
-            Ok(Ok(RequestBody::Whole(body))) => self.keep(KeptAnswer { body, ..kept }),
+        match timeout_at(until, RequestBody::read(body, MAX_STORED_BODY_BYTES)).await {
+            Ok(Ok(RequestBody::Whole(body))) => self.keep(StoredAnswer { body, ..kept }),
             Ok(Ok(large)) => self.stream(&kept, large),
             Ok(Err(_)) => self.lose(RefusalReason::TargetLost).await,
             Err(_) => self.lose(RefusalReason::Deadline).await,
         }
     }
 
-    fn keep(self, kept: KeptAnswer) -> Response<NodeBody> {
+    fn keep(self, kept: StoredAnswer) -> Response<NodeBody> {
         drop(self.permit);
         note_run(&self.node, &self.call, self.started);
         let response = kept_response(&kept);
-        self.ticket.end(CallEnd::Answered(kept));
+        self.ticket.finish(CallResult::Answered(kept));
         note_end(self.node, &self.call, self.address, BodyEnd::Whole);
         response
     }
 
     /// Streams an answer that is too large to keep; a lost link loses it.
-    fn stream(self, head: &KeptAnswer, mut large: RequestBody) -> Response<NodeBody> {
+    fn stream(self, head: &StoredAnswer, mut large: RequestBody) -> Response<NodeBody> {
         let rest = large.for_attempt().unwrap_or_else(crate::http::body::empty);
         let body = GuardedBody::new(rest, move |end| {
             drop(self.permit);
-            self.ticket.end(CallEnd::TooLarge);
+            self.ticket.finish(CallResult::TooLarge);
             note_end(self.node, &self.call, self.address, end);
         });
         kept_response(head).map(|_| boxed(body))
@@ -282,7 +282,7 @@
     response
 }
 
-async fn claim(node: &NodeHandle, call: &GateCall, key: KeyHash) -> ClaimVerdict {
+async fn claim(node: &NodeHandle, call: &GateCall, key: KeyHash) -> ClaimOutcome {
     let holder = ClaimHolder {
         run: call.call,
         hop: node.settings.hop,
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -11,7 +11,7 @@
 
 use serde::Deserialize;
 use wisteriaturn::clock::lock;
-use wisteriaturn::gate::announce::TargetStatement;
+use wisteriaturn::gate::announce::AnnouncementSummary;
 use wisteriaturn::gate::slots::SlotGate;
 use wisteriaturn::ids::{Incarnation, InstanceId, Sequence, ServiceName, SlotCount};
 use wisteriaturn::member::record::{MAX_TARGETS, TargetDeparture, TargetRecord, TargetState};
@@ -47,8 +47,8 @@
 impl TargetAnnouncement {
     /// Returns what orders this announcement among others, if the target names
     /// itself.
-    fn statement(&self) -> Option<TargetStatement> {
-        Some(TargetStatement {
+    fn statement(&self) -> Option<AnnouncementSummary> {
+        Some(AnnouncementSummary {
             instance: self.instance.clone()?,
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -181,7 +181,7 @@
     let now = node.clock.now();
     check_announcement(node, announcement)?;
     if let Some(statement) = announcement.statement()
-        && !lock(&node.announces).note(statement)
+        && !lock(&node.announces).accept(statement)
     {
         return Err(AnnounceError::Stale);
     }
@@ -291,7 +291,7 @@
     incarnation: Option<Incarnation>,
 ) -> bool {
     let now = Incarnation(node.clock.unix_millis());
-    if !lock(&node.announces).leave(instance, incarnation, now) {
+    if !lock(&node.announces).record_departure(instance, incarnation, now) {
         publish(node).await;
         return false;
     }
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -18,7 +18,7 @@
 use wisteriaturn::clock::lock;
 use wisteriaturn::config::view::{RouteEntry, ServiceEntry, ServingView, TargetEntry};
 use wisteriaturn::gate::outcome::{CallOutcome, RefusalReason};
-use wisteriaturn::gate::quarantine::RequestStanding;
+use wisteriaturn::gate::quarantine::QuarantineStatus;
 use wisteriaturn::ids::{CallId, Fingerprint, KeyHash, NodeAddress};
 use wisteriaturn::retry::budget::RetryBudget;
 use wisteriaturn::retry::deadline::CallDeadline;
@@ -124,14 +124,16 @@
 
     fn has_reached_target(&self) -> bool {
         self.outcome == CallOutcome::Done
-            || self.reason.is_some_and(RefusalReason::has_reached_target)
+            || self
+                .reason
+                .is_some_and(RefusalReason::may_have_reached_target)
     }
 }
 
 /// Makes attempts until one has an answer or no other may follow.
 pub async fn run(node: &NodeHandle, mut call: RoutedCall) -> Response<NodeBody> {
     let budget = node.budget(&call.service.spec.name);
-    budget.note_call(call.service.spec.retry_percent);
+    budget.record_call(call.service.spec.retry_percent);
     let mut count = AttemptCount::default();
     // The answer to an attempt that may have run: from then on the call as a
     // whole is no longer `not-run`, whatever becomes of later attempts.
@@ -207,11 +209,11 @@
         CallOutcome::Unknown => call.is_idempotent || call.has_key,
     };
     let is_worth_it = match end.reason {
-        Some(reason) => reason.is_worth_another_target(),
+        Some(reason) => reason.is_retryable_elsewhere(),
         None => end.is_target_failure(),
     };
     let now = node.clock.now();
-    let standing = lock(&node.suspects).standing(call.fingerprint, now);
+    let standing = lock(&node.suspects).status(call.fingerprint, now);
     let most = call.route.spec.max_attempts.unwrap_or(TARGET_LIMIT);
     is_proved
         && is_worth_it
@@ -220,7 +222,7 @@
         && count.reached < most
         && call.body.is_repeatable()
         && call.deadline.allows_attempt(now)
-        && standing == RequestStanding::Clean
+        && standing == QuarantineStatus::Clean
 }
 
 async fn attempt(
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -14,7 +14,7 @@
 use wisteriaturn::clock::lock;
 use wisteriaturn::config::view::{RouteEntry, ServiceEntry, ServingView};
 use wisteriaturn::gate::outcome::{CallOutcome, RefusalReason};
-use wisteriaturn::gate::quarantine::RequestStanding;
+use wisteriaturn::gate::quarantine::QuarantineStatus;
 use wisteriaturn::ids::Fingerprint;
 use wisteriaturn::retry::deadline::CallDeadline;
 use wisteriaturn::route::limit::RoutePermit;
@@ -185,7 +185,7 @@
         .try_acquire(&route.spec.name, most)
         .ok_or(RefusalReason::RouteLimit)?;
     let asked = headers::deadline(request.headers(), &node.edge.deadline_ms);
-    let deadline = CallDeadline::of_call(&node.clock, route.spec.deadline(), asked);
+    let deadline = CallDeadline::for_call(&node.clock, route.spec.deadline(), asked);
     let call = read(node, view, Arc::clone(&route), deadline, request).await?;
     let response = attempt::run(node, call).await;
     Ok(ServedCall {
@@ -286,7 +286,7 @@
         .map_err(|_| RefusalReason::Deadline)?
         .map_err(|_| RefusalReason::BadRequest)?;
     let aim = route.spec.target_latency().saturating_sub(CALLER_TRIP);
-    let aim = CallDeadline::of_call(&node.clock, aim, Some(deadline.remaining(node.clock.now())));
+    let aim = CallDeadline::for_call(&node.clock, aim, Some(deadline.remaining(node.clock.now())));
     let service = choose_service(&route);
     let fingerprint = match key.as_ref().filter(|_| !is_idempotent) {
         Some(key) => {
@@ -301,8 +301,8 @@
             body.head(),
         ]),
     };
-    let standing = lock(&node.suspects).standing(fingerprint, node.clock.now());
-    if let RequestStanding::Quarantined(_) = standing {
+    let standing = lock(&node.suspects).status(fingerprint, node.clock.now());
+    if let QuarantineStatus::Quarantined(_) = standing {
         return Err(RefusalReason::Quarantined);
     }
     Ok(RoutedCall {
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -15,7 +15,7 @@
 use wisteriaturn::clock::lock;
 use wisteriaturn::config::resource::CallClass;
 use wisteriaturn::config::view::TargetEntry;
-use wisteriaturn::gate::ledger::BODY_LIMIT;
+use wisteriaturn::gate::ledger::MAX_STORED_BODY_BYTES;
 use wisteriaturn::gate::outcome::RefusalReason;
 use wisteriaturn::ids::{
     BootId, CallId, CallPriority, Fingerprint, KeyHash, NodeAddress, RouteName, ServiceName,
@@ -251,7 +251,7 @@
         Err(ExchangeError::Unsent(_)) => return Err(LinkError::Unreachable("unsent".to_owned())),
         Err(ExchangeError::Lost(error)) => return Err(error),
     };
-    let body: Bytes = Limited::new(response.into_body(), BODY_LIMIT * 2)
+    let body: Bytes = Limited::new(response.into_body(), MAX_STORED_BODY_BYTES * 2)
         .collect()
         .await
         .map_err(|error| LinkError::Lost(error.to_string()))?
--- a/wisteriaturnd/src/mesh/news.rs
+++ b/wisteriaturnd/src/mesh/news.rs
@@ -68,7 +68,7 @@
             fingerprint,
             node: place,
             loss,
-        } => lock(&node.suspects).note_loss(fingerprint, place, loss, now),
+        } => lock(&node.suspects).record_target_loss(fingerprint, place, loss, now),
         Rumor::Cleared { fingerprint } => lock(&node.suspects).clear(fingerprint),
     }
 }
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -16,7 +16,7 @@
 use wisteriaturn::clock::{SharedClock, lock};
 use wisteriaturn::config::document::DocumentPort;
 use wisteriaturn::config::view::{ServingView, ViewCell};
-use wisteriaturn::gate::announce::AnnounceBook;
+use wisteriaturn::gate::announce::AnnouncementTracker;
 use wisteriaturn::gate::ledger::CallLedger;
 use wisteriaturn::gate::quarantine::SuspectTable;
 use wisteriaturn::ids::{
@@ -109,7 +109,7 @@
     /// Names of the headers that callers and targets know.
     pub edge: EdgeNames,
     /// What the targets on this VM said of themselves.
-    pub announces: Mutex<AnnounceBook>,
+    pub announces: Mutex<AnnouncementTracker>,
     /// Size of the answers of each route.
     pub sizes: AnswerEstimator,
     /// Time that the targets on this VM take for calls of each route.
@@ -293,7 +293,7 @@
             documents: self.documents,
             directory: self.directory,
             edge: self.edge,
-            announces: Mutex::new(AnnounceBook::new()),
+            announces: Mutex::new(AnnouncementTracker::new()),
             sizes: AnswerEstimator::new(),
             runs: AnswerEstimator::new(),
             claims,
