--- a/src/config/change.rs
+++ b/src/config/change.rs
@@ -1,9 +1,9 @@
-//! A change: the batch of writes that one record of the log carries.
+//! Changes: batches of writes, each stored as one record of the log.
 //!
-//! `Resource` is tagged with its kind in JSON. Postcard cannot read internally
-//! tagged enums, because it does not describe itself, so a record carries the
-//! JSON of each resource inside a postcard frame. The other way, a second set
-//! of types for the log, would be one more place to forget a field.
+//! `Resource` is an internally tagged enum. Postcard cannot decode such enums,
+//! because it is not a self-describing format, so a record contains the JSON of
+//! each resource inside a postcard frame. The alternative, a second set of
+//! types for the log, would be one more place where a field can be forgotten.
 
 use bytes::Bytes;
 
@@ -11,20 +11,22 @@
 use crate::error::CodecError;
 use crate::ids::{AuthorName, ChangeId, Revision};
 
-/// First byte of a record, raised when the format changes.
+/// Format number in the first byte of a record; incremented when the format
+/// changes.
 pub const CHANGE_FORMAT: u8 = 1;
 
-/// Largest record in bytes.
+/// Maximum size of a record in bytes.
 pub const MAX_CHANGE_BYTES: usize = 256 * 1024;
 
-/// Most writes in one change.
+/// Maximum number of writes in a change.
 pub const MAX_OPERATIONS: usize = 1024;
 
 record! {
-    /// What a writer expects a resource to be before its write.
+    /// The condition on a resource under which a write is applied, as in
+    /// compare-and-set.
     #[serde(rename_all = "lowercase")]
     pub enum Precondition {
-        /// Anything.
+        /// Always true.
         Any,
         /// The resource does not exist.
         Absent,
@@ -34,39 +36,39 @@
 
     /// One write of a change.
     pub struct Operation {
-        /// Resource that is written.
+        /// Key of the resource to write.
         pub key: ResourceKey,
-        /// What the writer expects.
+        /// Condition under which the write is applied.
         pub expect: Precondition,
-        /// The new value, or nothing to delete it.
+        /// The new value, or `None` to delete the resource.
         pub value: Option<Resource>,
     }
 
-    /// A batch of writes that is accepted or rejected whole.
+    /// A batch of writes that is accepted or rejected atomically.
     pub struct Change {
-        /// Chosen at random by the writer.
+        /// Identifier, chosen at random by the writer.
         pub id: ChangeId,
-        /// Who asked for it.
+        /// Who requested the change.
         pub author: AuthorName,
         /// The writes, in order.
         pub operations: Vec<Operation>,
     }
 
-    struct RawOperation {
+    struct EncodedOperation {
         key: ResourceKey,
         expect: Precondition,
         value: Option<Bytes>,
     }
 
-    struct RawChange {
+    struct EncodedChange {
         id: ChangeId,
         author: AuthorName,
-        operations: Vec<RawOperation>,
+        operations: Vec<EncodedOperation>,
     }
 }
 
 impl Operation {
-    /// Returns a write of `value`.
+    /// Returns an operation that writes `value`.
     pub fn put(value: Resource, expect: Precondition) -> Self {
         Self {
             key: value.key(),
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Returns a delete of `key`.
+    /// Returns an operation that deletes the resource at `key`.
     pub fn delete(key: ResourceKey, expect: Precondition) -> Self {
         Self {
             key,
@@ -86,19 +88,19 @@
 }
 
 impl Change {
-    /// Encodes the change as a record of the log.
+    /// Encodes the change as a log record.
     pub fn encode(&self) -> Result<Bytes, CodecError> {
         let mut operations = Vec::with_capacity(self.operations.len());
         for operation in &self.operations {
-            operations.push(RawOperation::try_from(operation)?);
+            operations.push(EncodedOperation::try_from(operation)?);
         }
-        let raw = RawChange {
+        let encoded = EncodedChange {
             id: self.id,
             author: self.author.clone(),
             operations,
         };
         let mut record = vec![CHANGE_FORMAT];
-        let body = postcard::to_stdvec(&raw).map_err(|_| CodecError::Malformed)?;
+        let body = postcard::to_stdvec(&encoded).map_err(|_| CodecError::Malformed)?;
         record.extend_from_slice(&body);
         check_size(record.len())?;
         Ok(Bytes::from(record))
@@ -114,24 +116,24 @@
         if *format != CHANGE_FORMAT {
             return Err(CodecError::UnknownFormat(*format));
         }
-        let (raw, rest): (RawChange, _) =
+        let (encoded, trailing): (EncodedChange, _) =
             postcard::take_from_bytes(body).map_err(|_| CodecError::Malformed)?;
-        if !rest.is_empty() || raw.operations.len() > MAX_OPERATIONS {
+        if !trailing.is_empty() || encoded.operations.len() > MAX_OPERATIONS {
             return Err(CodecError::Malformed);
         }
-        let mut operations = Vec::with_capacity(raw.operations.len());
-        for operation in raw.operations {
+        let mut operations = Vec::with_capacity(encoded.operations.len());
+        for operation in encoded.operations {
             operations.push(Operation::try_from(operation)?);
         }
         Ok(Self {
-            id: raw.id,
-            author: raw.author,
+            id: encoded.id,
+            author: encoded.author,
             operations,
         })
     }
 }
 
-impl TryFrom<&Operation> for RawOperation {
+impl TryFrom<&Operation> for EncodedOperation {
     type Error = CodecError;
 
     fn try_from(operation: &Operation) -> Result<Self, CodecError> {
@@ -147,33 +149,36 @@
     }
 }
 
-impl TryFrom<RawOperation> for Operation {
+impl TryFrom<EncodedOperation> for Operation {
     type Error = CodecError;
 
-    fn try_from(raw: RawOperation) -> Result<Self, CodecError> {
-        let value = match raw.value {
+    fn try_from(encoded: EncodedOperation) -> Result<Self, CodecError> {
+        let value = match encoded.value {
             Some(bytes) => Some(decode_resource(&bytes)?),
             None => None,
         };
-        if value.as_ref().is_some_and(|value| value.key() != raw.key) {
+        if value
+            .as_ref()
+            .is_some_and(|value| value.key() != encoded.key)
+        {
             return Err(CodecError::Malformed);
         }
         Ok(Self {
-            key: raw.key,
-            expect: raw.expect,
+            key: encoded.key,
+            expect: encoded.expect,
             value,
         })
     }
 }
 
-/// Encodes one resource for a record of the log.
+/// Encodes a resource for use inside a log record.
 pub fn encode_resource(resource: &Resource) -> Result<Bytes, CodecError> {
     serde_json::to_vec(resource)
         .map(Bytes::from)
         .map_err(|_| CodecError::Malformed)
 }
 
-/// Decodes one resource from a record of the log.
+/// Decodes a resource from inside a log record.
 pub fn decode_resource(bytes: &[u8]) -> Result<Resource, CodecError> {
     serde_json::from_slice(bytes).map_err(|_| CodecError::Malformed)
 }
--- a/src/config/delta.rs
+++ b/src/config/delta.rs
@@ -1,10 +1,10 @@
-//! What changed between two documents.
+//! Deltas between two documents.
 //!
-//! Documents are written whole, but most of a new one is what the old one said.
-//! A node that holds the old one is told the difference only, which for a change
-//! of one route is a few hundred bytes in place of the whole document. The hash
-//! of the result is part of the difference, so that one which was put on the
-//! wrong document, or was changed on its way, is refused whole.
+//! Documents are written whole, but most of a new document is the same as in
+//! the old one. A node that has the old one is sent only a delta, which for a
+//! change of one route is a few hundred bytes instead of the whole document.
+//! The delta contains the hash of the result, so that it is rejected as a whole
+//! when it is applied to the wrong document or was altered in transit.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,39 +19,39 @@
 use crate::error::CodecError;
 use crate::ids::{ConfigVersion, Revision};
 
-/// Documents that are kept to tell what changed since: those of a storm of
-/// versions which a node may have missed in part.
+/// Maximum number of past documents that are kept as bases for deltas. They
+/// cover a burst of versions of which a node may have missed some.
 pub const MAX_HISTORY_DOCUMENTS: usize = 6;
 
 record! {
     /// The difference between two documents.
     pub struct DocumentDelta {
-        /// Version that it starts from.
+        /// Version of the old document.
         pub from: ConfigVersion,
-        /// Hash of the document that it starts from.
+        /// Hash of the old document.
         pub from_hash: ChainHash,
-        /// Version that it leads to.
+        /// Version of the new document.
         pub to: ConfigVersion,
-        /// Hash of the document that it leads to.
+        /// Hash of the new document.
         pub to_hash: ChainHash,
-        /// Resources that are new or changed.
+        /// Added and changed resources, encoded.
         pub puts: Vec<Bytes>,
-        /// Resources that are gone.
+        /// Keys of the removed resources.
         pub removed: Vec<ResourceKey>,
     }
 }
 
-/// Returns what leads from one document to another.
+/// Returns the delta that turns `old` into `new`.
 ///
 /// # Errors
 ///
-/// [`CodecError`] when a resource cannot be encoded.
+/// Returns a [`CodecError`] if a resource cannot be encoded.
 pub fn delta_between(old: &ConfigState, new: &ConfigState) -> Result<DocumentDelta, CodecError> {
     let mut puts = Vec::new();
-    for (key, held) in new.resources() {
-        let before = old.resources().get(key);
-        if before.is_none_or(|before| before.resource != held.resource) {
-            puts.push(encode_resource(&held.resource)?);
+    for (key, entry) in new.resources() {
+        let old_entry = old.resources().get(key);
+        if old_entry.is_none_or(|old_entry| old_entry.resource != entry.resource) {
+            puts.push(encode_resource(&entry.resource)?);
         }
     }
     let removed = old
@@ -70,15 +70,18 @@
     })
 }
 
-/// Returns the document that a difference leads to.
+/// Returns the document that results from applying `delta` to `state`.
 ///
 /// # Errors
 ///
-/// [`Rejection`] when it starts from another document or leads to another one
-/// than it says.
+/// Returns a [`Rejection`] if `delta` was made from another document, or if the
+/// result is invalid or doesn't have the version and hash that `delta` states.
 pub fn apply_delta(state: &ConfigState, delta: &DocumentDelta) -> Result<ConfigState, Rejection> {
     if delta.from != state.version() || delta.from_hash != state.chain() {
-        let why = format!("a difference from version {}", delta.from);
+        let why = format!(
+            "the delta was made from another document, of version {}",
+            delta.from
+        );
         return Err(Rejection::Undecodable(why));
     }
     let revision = Revision(delta.to.0);
@@ -89,12 +92,15 @@
     for put in &delta.puts {
         let resource =
             decode_resource(put).map_err(|error| Rejection::Undecodable(error.to_string()))?;
-        let held = Arc::new(VersionedResource { revision, resource });
-        resources.insert(held.resource.key(), held);
+        let entry = Arc::new(VersionedResource { revision, resource });
+        resources.insert(entry.resource.key(), entry);
     }
     validate(&resources)?;
     if document_hash(delta.to, &resources)? != delta.to_hash {
-        let why = format!("a difference that does not lead to version {}", delta.to);
+        let why = format!(
+            "the hash of the result differs from that of version {}",
+            delta.to
+        );
         return Err(Rejection::Undecodable(why));
     }
     Ok(ConfigState::from_parts(
@@ -105,14 +111,15 @@
     ))
 }
 
-/// The documents that were in force lately.
+/// The most recent documents before the current one.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
     states: VecDeque<ConfigState>,
 }
 
 impl DocumentHistory {
-    /// Adds the document that was in force until now.
+    /// Adds the document that has just been replaced, and drops the oldest one
+    /// when [`MAX_HISTORY_DOCUMENTS`] are kept.
     pub fn push(&mut self, state: ConfigState) {
         if self.states.len() == MAX_HISTORY_DOCUMENTS {
             self.states.pop_front();
@@ -120,7 +127,7 @@
         self.states.push_back(state);
     }
 
-    /// Returns the document of a version that is still kept.
+    /// Returns the document of `version`, if it is still kept.
     pub fn get(&self, version: ConfigVersion) -> Option<&ConfigState> {
         self.states.iter().find(|state| state.version() == version)
     }
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,13 +1,13 @@
-//! Whole configurations, for sources that write a new document each time.
+//! Complete configurations, for sources that write a new document each time.
 //!
-//! Where operators write the whole configuration at once, there is nothing to
-//! fold: a document replaces everything before it, its own number is the
-//! version, and only the newest one matters. Validation is the same as for a
-//! change, so a document is accepted whole or rejected whole.
+//! Where operators write the complete configuration at once, there is nothing
+//! to fold: a document replaces its predecessor, its own number is the version,
+//! and only the newest one matters. Validation is the same as for a change, so
+//! a document is accepted or rejected as a whole.
 //!
-//! The trade-off: a document of many routes is sent again for a change of one.
-//! In return a node that missed any number of versions needs one read, and no
-//! snapshots have to be written.
+//! The trade-off: a document with many routes is written again when one of them
+//! changes. In return, a node that missed any number of versions needs a single
+//! read, and no snapshots have to be written.
 //!
 //! See [docs/decisions/0007](../../docs/decisions/0007-programs-on-the-platform.md).
 
@@ -23,10 +23,10 @@
 use crate::ids::{ConfigVersion, Offset, Revision};
 use crate::log_port::BoxFuture;
 
-/// A whole configuration as its source wrote it.
+/// A complete configuration as its source wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigDocument {
-    /// Version that the source gave it; a later document has a higher one.
+    /// Version assigned by the source; a later document has a higher one.
     pub version: ConfigVersion,
     /// All resources.
     pub resources: Vec<Resource>,
@@ -41,25 +41,26 @@
 }
 
 impl ConfigDocument {
-    /// Returns the state that this document puts in place of `before`. What did
-    /// not change is shared with it, so that documents cost memory only for
-    /// what they change.
+    /// Converts the document into the state that replaces `previous`.
+    ///
+    /// Unchanged resources are shared with `previous` and keep their revision,
+    /// so a document takes memory only for what it changes.
     ///
     /// # Errors
     ///
-    /// [`Rejection`] says what is wrong with the document.
-    pub fn into_state(self, before: &ConfigState) -> Result<ConfigState, Rejection> {
+    /// Returns a [`Rejection`] if the document is invalid.
+    pub fn into_state(self, previous: &ConfigState) -> Result<ConfigState, Rejection> {
         let document = self;
         let revision = Revision(document.version.0);
         let mut resources = ResourceMap::new();
         for resource in document.resources {
             let key = resource.key();
-            let shared = before.resources().get(&key);
-            let held = match shared {
-                Some(shared) if shared.resource == resource => Arc::clone(shared),
+            let old_entry = previous.resources().get(&key);
+            let entry = match old_entry {
+                Some(old_entry) if old_entry.resource == resource => Arc::clone(old_entry),
                 _ => Arc::new(VersionedResource { revision, resource }),
             };
-            if resources.insert(key.clone(), held).is_some() {
+            if resources.insert(key.clone(), entry).is_some() {
                 return Err(Rejection::WrittenTwice(key));
             }
         }
@@ -74,16 +75,16 @@
     }
 }
 
-/// Hashes a document, so that two nodes at one version can see that they hold
-/// the same one.
+/// Returns the hash of a document, by which nodes at the same version verify
+/// that they hold the same document.
 pub(crate) fn document_hash(
     version: ConfigVersion,
     resources: &ResourceMap,
 ) -> Result<ChainHash, Rejection> {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&version.0.to_le_bytes());
-    for held in resources.values() {
-        let bytes = encode_resource(&held.resource)
+    for entry in resources.values() {
+        let bytes = encode_resource(&entry.resource)
             .map_err(|error| Rejection::Undecodable(error.to_string()))?;
         hasher.update(&(bytes.len() as u64).to_le_bytes());
         hasher.update(&bytes);
@@ -91,12 +92,12 @@
     Ok(*hasher.finalize().as_bytes())
 }
 
-/// What one read of a source found.
+/// The result of one read from a source of documents.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DocumentBatch {
-    /// The newest document that could be read, if there was one.
+    /// The newest readable document, if there was one.
     pub newest: Option<ConfigDocument>,
-    /// Where the next read goes on.
+    /// Offset at which the next read starts.
     pub next: Offset,
 }
 
@@ -104,7 +105,7 @@
 type FollowFn =
     dyn Fn(Offset, Duration) -> BoxFuture<Result<DocumentBatch, LogError>> + Send + Sync;
 
-/// A cheap handle to a source of documents.
+/// A handle to a source of documents that is cheap to clone.
 #[derive(Clone)]
 pub struct DocumentPort {
     newest: Arc<NewestFn>,
@@ -112,8 +113,8 @@
 }
 
 impl DocumentPort {
-    /// Returns a port made of a function that reads the newest document and one
-    /// that waits for documents from an offset on.
+    /// Returns a handle that calls `newest` to read the newest document and
+    /// `follow` to wait for documents from an offset on.
     pub fn new<N, F>(newest: N, follow: F) -> Self
     where
         N: Fn() -> BoxFuture<Result<DocumentBatch, LogError>> + Send + Sync + 'static,
@@ -132,16 +133,17 @@
     ///
     /// # Errors
     ///
-    /// [`LogError`] when the source does not answer.
+    /// Returns a [`LogError`] if the source cannot be read.
     pub async fn newest(&self) -> Result<DocumentBatch, LogError> {
         (self.newest)().await
     }
 
-    /// Reads documents from `from` on, waiting up to `wait` for one.
+    /// Reads documents from offset `from` on, waiting up to `wait` for one.
     ///
     /// # Errors
     ///
-    /// [`LogError::Trimmed`] when the source no longer keeps `from`.
+    /// Returns [`LogError::Trimmed`] if the source no longer retains `from`, or
+    /// another [`LogError`] if it cannot be read.
     pub async fn follow(&self, from: Offset, wait: Duration) -> Result<DocumentBatch, LogError> {
         (self.follow)(from, wait).await
     }
--- a/src/config/fold.rs
+++ b/src/config/fold.rs
@@ -1,8 +1,8 @@
-//! The fold: one state and one record give the next state.
+//! The fold that computes the next state from a state and a record.
 //!
-//! The function is pure and total. A record that cannot be decoded is rejected
-//! and still counts as a version, because a node that stopped there, or
-//! skipped it, would number every later version differently from its peers.
+//! The function is deterministic and total. A record that cannot be decoded is
+//! rejected but still counts as a version: a node that stopped at it or skipped
+//! it would number all later versions differently from its peers.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -14,30 +14,32 @@
 use crate::config::validate::{Rejection, ResourceMap, validate};
 use crate::ids::{ChangeId, ConfigVersion, Revision};
 
-/// Change ids that are remembered, so that a change appended twice is folded once.
+/// Number of recent change ids that are remembered, so that a change that was
+/// appended twice is applied once.
 pub const MAX_REMEMBERED_CHANGES: usize = 4096;
 
-/// The hash over all records up to a version.
+/// The hash chain over all records up to a version, or the hash of the document
+/// where the source writes whole documents.
 pub type ChainHash = [u8; 32];
 
-/// A resource with the revision at which it was last written.
+/// A resource and the revision at which it was last written.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedResource {
-    /// Version of the last write.
+    /// Version at which the resource was last written.
     pub revision: Revision,
     /// The resource.
     pub resource: Resource,
 }
 
-/// What became of a record.
+/// The result of folding a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FoldVerdict {
-    /// The change is part of the version.
+    /// The change was applied.
     Accepted,
-    /// The change was rejected whole.
+    /// The record was rejected; none of its writes were applied.
     Rejected(Rejection),
-    /// The change was folded before, at this version.
+    /// The change had already been folded at this version and was ignored.
     Repeated(ConfigVersion),
 }
 
@@ -47,7 +49,7 @@
     version: ConfigVersion,
     chain: ChainHash,
     resources: ResourceMap,
-    recent: VecDeque<ChangeId>,
+    recent_ids: VecDeque<ChangeId>,
     verdicts: HashMap<ChangeId, (ConfigVersion, FoldVerdict)>,
 }
 
@@ -57,17 +59,16 @@
         Self::default()
     }
 
-    /// Returns a state from the parts of a snapshot.
+    /// Returns a state made of the parts of a snapshot or a document.
     ///
-    /// Verdicts are kept only as accepted or not: a rejected change may be
-    /// asked about again, but its reason is not worth a snapshot's bytes.
+    /// `recent` lists the remembered changes with their verdicts, oldest first.
     pub(crate) fn from_parts(
         version: ConfigVersion,
         chain: ChainHash,
         resources: ResourceMap,
         recent: Vec<(ChangeId, ConfigVersion, FoldVerdict)>,
     ) -> Self {
-        let order = recent.iter().map(|(id, _, _)| *id).collect();
+        let recent_ids = recent.iter().map(|(id, _, _)| *id).collect();
         let verdicts = recent
             .into_iter()
             .map(|(id, version, verdict)| (id, (version, verdict)))
@@ -76,30 +77,30 @@
             version,
             chain,
             resources,
-            recent: order,
+            recent_ids,
             verdicts,
         }
     }
 
-    /// Returns the number of records folded.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Returns the hash over all records folded.
+    /// Returns the hash of the records or the document behind this state.
     pub fn chain(&self) -> ChainHash {
         self.chain
     }
 
-    /// Returns the resources.
+    /// Returns the resources by key.
     pub fn resources(&self) -> &ResourceMap {
         &self.resources
     }
 
-    /// Returns the remembered changes, oldest first.
+    /// Returns the remembered changes with their verdicts, oldest first.
     pub fn recent(&self) -> Vec<(ChangeId, ConfigVersion, FoldVerdict)> {
-        let mut recent = Vec::with_capacity(self.recent.len());
-        for id in &self.recent {
+        let mut recent = Vec::with_capacity(self.recent_ids.len());
+        for id in &self.recent_ids {
             if let Some((version, verdict)) = self.verdicts.get(id) {
                 recent.push((*id, *version, verdict.clone()));
             }
@@ -107,15 +108,16 @@
         recent
     }
 
-    /// Returns what became of a change that is still remembered.
+    /// Returns the version and the verdict of a change, if it is still
+    /// remembered.
     pub fn verdict(&self, id: ChangeId) -> Option<&(ConfigVersion, FoldVerdict)> {
         self.verdicts.get(&id)
     }
 
-    /// Folds the next record of the log.
+    /// Folds the next record of the log into the state.
     pub fn fold(&mut self, record: &[u8]) -> FoldVerdict {
         self.version.0 += 1;
-        self.chain = next_chain(&self.chain, record);
+        self.chain = extend_chain(&self.chain, record);
         let change = match Change::try_from(record) {
             Ok(change) => change,
             Err(error) => {
@@ -134,55 +136,64 @@
         verdict
     }
 
-    /// Tells what folding `change` now would give, without folding it.
+    /// Checks whether `change` would be accepted now, without folding it.
+    ///
+    /// # Errors
+    ///
+    /// Returns the [`Rejection`] that folding the change would give.
     pub fn preview(&self, change: &Change) -> Result<(), Rejection> {
-        self.applied(change.clone(), self.version).map(|_| ())
+        self.resources_after(change.clone(), self.version)
+            .map(|_| ())
     }
 
     fn apply(&mut self, change: Change) -> Result<(), Rejection> {
-        self.resources = self.applied(change, self.version)?;
+        self.resources = self.resources_after(change, self.version)?;
         Ok(())
     }
 
-    fn applied(&self, change: Change, version: ConfigVersion) -> Result<ResourceMap, Rejection> {
+    fn resources_after(
+        &self,
+        change: Change,
+        version: ConfigVersion,
+    ) -> Result<ResourceMap, Rejection> {
         if change.operations.is_empty() {
             return Err(Rejection::Empty);
         }
-        let mut written = BTreeSet::new();
+        let mut written_keys = BTreeSet::new();
         let mut resources = self.resources.clone();
         for operation in change.operations {
-            if !written.insert(operation.key.clone()) {
+            if !written_keys.insert(operation.key.clone()) {
                 return Err(Rejection::WrittenTwice(operation.key));
             }
-            write_one(&mut resources, operation, version)?;
+            apply_operation(&mut resources, operation, version)?;
         }
         validate(&resources)?;
         Ok(resources)
     }
 
     fn remember(&mut self, id: ChangeId, verdict: FoldVerdict) {
-        if self.recent.len() == MAX_REMEMBERED_CHANGES
-            && let Some(oldest) = self.recent.pop_front()
+        if self.recent_ids.len() == MAX_REMEMBERED_CHANGES
+            && let Some(oldest) = self.recent_ids.pop_front()
         {
             self.verdicts.remove(&oldest);
         }
-        self.recent.push_back(id);
+        self.recent_ids.push_back(id);
         self.verdicts.insert(id, (self.version, verdict));
     }
 }
 
-fn write_one(
+fn apply_operation(
     resources: &mut ResourceMap,
     operation: Operation,
     version: ConfigVersion,
 ) -> Result<(), Rejection> {
-    let held = resources.get(&operation.key).map(|held| held.revision);
-    let is_expected = match operation.expect {
+    let held = resources.get(&operation.key).map(|entry| entry.revision);
+    let is_met = match operation.expect {
         Precondition::Any => true,
         Precondition::Absent => held.is_none(),
         Precondition::At(revision) => held == Some(revision),
     };
-    if !is_expected {
+    if !is_met {
         return Err(Rejection::Conflict {
             key: operation.key,
             expected: operation.expect,
@@ -206,7 +217,7 @@
     Ok(())
 }
 
-fn next_chain(chain: &ChainHash, record: &[u8]) -> ChainHash {
+fn extend_chain(chain: &ChainHash, record: &[u8]) -> ChainHash {
     let mut hasher = blake3::Hasher::new();
     hasher.update(chain);
     hasher.update(record);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,14 +1,14 @@
-//! Configuration as a fold over the log.
+//! Configuration, computed as a fold over the records of the log.
 //!
 //! A version is the number of records folded. Every node folds the same
 //! records in the same order with the same function, so all nodes agree on
-//! what is in force without talking to each other about it. A record is one
-//! change, a batch of writes, and is accepted or rejected whole; validation
-//! looks at the whole set that would result.
+//! the configuration without any communication between them. Each record is a
+//! change, a batch of writes that is accepted or rejected atomically;
+//! validation covers the whole set of resources that would result.
 //!
-//! The trade-off: a node must see every record, also those that are rejected.
-//! The other way, a leader that validates before it writes, needs a lease and
-//! so a second coordination service.
+//! The trade-off: a node must read every record, including rejected ones. The
+//! alternative, a leader that validates changes before it writes them, needs a
+//! lease and therefore a second coordination service.
 //!
 //! See [docs/DESIGN.md](../../docs/DESIGN.md#2-configuration).
 
--- a/src/config/snapshot.rs
+++ b/src/config/snapshot.rs
@@ -1,10 +1,10 @@
-//! Snapshots: the state at one version, so that a start does not need records
-//! that the log no longer keeps.
+//! Snapshots of the state at one version, from which a node starts without the
+//! records that the log has trimmed.
 //!
-//! The fold is deterministic, so two writers make the same snapshot and no
-//! lease is needed to write one. A snapshot is cut into records of bounded
-//! size; each carries the hash of the whole, so a torn snapshot, or one mixed
-//! from two writers, is never put together.
+//! The fold is deterministic, so two writers produce the same snapshot and no
+//! lease is needed to write one. A snapshot is split into chunks of bounded
+//! size, one per log record. Each chunk contains the hash of the whole snapshot,
+//! so an incomplete snapshot or one mixed from two writers is never assembled.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,17 +18,17 @@
 use crate::error::CodecError;
 use crate::ids::{ChangeId, ConfigVersion, Revision};
 
-/// First byte of an encoded snapshot.
+/// Format number in the first byte of an encoded snapshot.
 pub const SNAPSHOT_FORMAT: u8 = 1;
 
-/// Largest payload of one snapshot record in bytes.
+/// Maximum payload of a snapshot chunk in bytes.
 pub const MAX_CHUNK_BYTES: usize = 128 * 1024;
 
-/// Largest snapshot in bytes.
+/// Maximum size of an encoded snapshot in bytes.
 pub const MAX_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 
 #[derive(Debug, Serialize, Deserialize)]
-struct RawSnapshot {
+struct EncodedSnapshot {
     version: ConfigVersion,
     chain: ChainHash,
     resources: Vec<(Revision, Bytes)>,
@@ -36,39 +36,39 @@
 }
 
 record! {
-    /// One record of the snapshot stream.
+    /// A part of a snapshot, stored as one record of the snapshot stream.
     pub struct SnapshotChunk {
         /// Version of the snapshot.
         pub version: ConfigVersion,
         /// Hash of the whole snapshot.
         pub hash: [u8; 32],
-        /// Position of this chunk, from 0.
+        /// Position of this chunk in the snapshot, starting at 0.
         pub index: u32,
-        /// Number of chunks.
+        /// Number of chunks in the snapshot.
         pub count: u32,
-        /// Bytes of this chunk.
+        /// Payload of this chunk.
         pub bytes: Bytes,
     }
 }
 
-/// Encodes a state.
+/// Encodes a state as a snapshot.
 pub fn encode_snapshot(state: &ConfigState) -> Result<Bytes, CodecError> {
     let mut resources = Vec::with_capacity(state.resources().len());
-    for held in state.resources().values() {
-        resources.push((held.revision, encode_resource(&held.resource)?));
+    for entry in state.resources().values() {
+        resources.push((entry.revision, encode_resource(&entry.resource)?));
     }
-    let raw = RawSnapshot {
+    let encoded = EncodedSnapshot {
         version: state.version(),
         chain: state.chain(),
         resources,
         recent: state.recent(),
     };
     let mut bytes = vec![SNAPSHOT_FORMAT];
-    bytes.extend(postcard::to_stdvec(&raw).map_err(|_| CodecError::Malformed)?);
+    bytes.extend(postcard::to_stdvec(&encoded).map_err(|_| CodecError::Malformed)?);
     Ok(Bytes::from(bytes))
 }
 
-/// Decodes a state and checks it as a whole.
+/// Decodes a snapshot and validates its resources.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<ConfigState, CodecError> {
     if bytes.len() > MAX_SNAPSHOT_BYTES {
         return Err(CodecError::TooLarge {
@@ -80,13 +80,13 @@
     if *format != SNAPSHOT_FORMAT {
         return Err(CodecError::UnknownFormat(*format));
     }
-    let (raw, rest): (RawSnapshot, _) =
+    let (encoded, trailing): (EncodedSnapshot, _) =
         postcard::take_from_bytes(body).map_err(|_| CodecError::Malformed)?;
-    if !rest.is_empty() {
+    if !trailing.is_empty() {
         return Err(CodecError::Malformed);
     }
     let mut resources = ResourceMap::new();
-    for (revision, bytes) in raw.resources {
+    for (revision, bytes) in encoded.resources {
         let resource = decode_resource(&bytes)?;
         resources.insert(
             resource.key(),
@@ -95,14 +95,14 @@
     }
     validate(&resources).map_err(|_| CodecError::Malformed)?;
     Ok(ConfigState::from_parts(
-        raw.version,
-        raw.chain,
+        encoded.version,
+        encoded.chain,
         resources,
-        raw.recent,
+        encoded.recent,
     ))
 }
 
-/// Cuts an encoded snapshot into records.
+/// Splits an encoded snapshot into chunks.
 pub fn split_snapshot(version: ConfigVersion, snapshot: &Bytes) -> Vec<SnapshotChunk> {
     let hash = *blake3::hash(snapshot).as_bytes();
     let count = snapshot.len().div_ceil(MAX_CHUNK_BYTES);
@@ -122,7 +122,7 @@
 }
 
 impl SnapshotChunk {
-    /// Encodes the chunk as a record of the log.
+    /// Encodes the chunk as a log record.
     pub fn encode(&self) -> Result<Bytes, CodecError> {
         postcard::to_stdvec(self)
             .map(Bytes::from)
@@ -130,55 +130,55 @@
     }
 }
 
-/// Puts snapshots together from the records of the snapshot stream.
+/// Assembles snapshots from the records of the snapshot stream.
 #[derive(Debug, Default)]
 pub struct SnapshotAssembler {
-    partial: BTreeMap<(ConfigVersion, [u8; 32]), BTreeMap<u32, Bytes>>,
+    incomplete: BTreeMap<(ConfigVersion, [u8; 32]), BTreeMap<u32, Bytes>>,
     newest: Option<ConfigState>,
 }
 
 impl SnapshotAssembler {
-    /// Returns a reader that has seen nothing.
+    /// Returns an assembler without any records.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes one record; records that do not fit are ignored.
+    /// Adds a record of the snapshot stream. Invalid records are ignored.
     pub fn add_record(&mut self, record: &[u8]) {
         let Ok((chunk, _)) = postcard::take_from_bytes::<SnapshotChunk>(record) else {
             return;
         };
-        let limit = MAX_SNAPSHOT_BYTES.div_ceil(MAX_CHUNK_BYTES) as u32;
-        if chunk.count == 0 || chunk.count > limit || chunk.index >= chunk.count {
+        let max_count = MAX_SNAPSHOT_BYTES.div_ceil(MAX_CHUNK_BYTES) as u32;
+        if chunk.count == 0 || chunk.count > max_count || chunk.index >= chunk.count {
             return;
         }
-        let place = (chunk.version, chunk.hash);
-        let parts = self.partial.entry(place).or_default();
-        parts.insert(chunk.index, chunk.bytes);
-        if parts.len() < chunk.count as usize {
+        let snapshot_id = (chunk.version, chunk.hash);
+        let payloads = self.incomplete.entry(snapshot_id).or_default();
+        payloads.insert(chunk.index, chunk.bytes);
+        if payloads.len() < chunk.count as usize {
             return;
         }
-        let whole: Vec<u8> = parts
+        let snapshot: Vec<u8> = payloads
             .values()
-            .flat_map(|part| part.iter().copied())
+            .flat_map(|payload| payload.iter().copied())
             .collect();
-        self.partial.remove(&place);
-        if *blake3::hash(&whole).as_bytes() != place.1 {
+        self.incomplete.remove(&snapshot_id);
+        if *blake3::hash(&snapshot).as_bytes() != snapshot_id.1 {
             return;
         }
-        if let Ok(state) = decode_snapshot(&whole) {
-            self.offer(state);
+        if let Ok(state) = decode_snapshot(&snapshot) {
+            self.keep_if_newer(state);
         }
     }
 
-    /// Returns the newest whole snapshot.
+    /// Returns the state of the newest complete snapshot.
     pub fn into_newest(self) -> Option<ConfigState> {
         self.newest
     }
 
-    fn offer(&mut self, state: ConfigState) {
-        let held = self.newest.as_ref().map(ConfigState::version);
-        if held.is_none_or(|held| held < state.version()) {
+    fn keep_if_newer(&mut self, state: ConfigState) {
+        let newest_version = self.newest.as_ref().map(ConfigState::version);
+        if newest_version.is_none_or(|version| version < state.version()) {
             self.newest = Some(state);
         }
     }
--- a/src/config/tail.rs
+++ b/src/config/tail.rs
@@ -1,9 +1,9 @@
-//! The newest records, kept so that a peer which is a little behind gets only
-//! what it does not hold.
+//! The newest log records, kept in memory so that a peer that is slightly behind
+//! is sent only the records that it lacks.
 //!
-//! A peer that is further behind than the tail reaches gets a snapshot. The
-//! tail is bounded in bytes, because a few large changes must not push a node
-//! over its memory.
+//! A peer that is behind the start of the tail is sent a snapshot. The tail is
+//! bounded in bytes rather than records, so that a few large changes cannot
+//! exhaust a node's memory.
 
 use std::collections::VecDeque;
 
@@ -11,51 +11,56 @@
 
 use crate::ids::ConfigVersion;
 
-/// Most bytes of records kept.
+/// Maximum total size of the records kept in bytes.
 pub const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
 
 /// The newest records of the configuration stream.
 #[derive(Debug, Default)]
 pub struct RecordTail {
-    first: ConfigVersion,
+    /// Version before the oldest record kept.
+    base_version: ConfigVersion,
     records: VecDeque<Bytes>,
-    bytes: usize,
+    total_bytes: usize,
 }
 
 impl RecordTail {
-    /// Returns a tail that starts after `version`.
+    /// Returns an empty tail whose first record will lead to the version after
+    /// `version`.
     pub fn starting_at(version: ConfigVersion) -> Self {
         Self {
-            first: version,
+            base_version: version,
             ..Self::default()
         }
     }
 
-    /// Adds the record that leads to the next version.
+    /// Adds the record of the next version, and drops the oldest records when
+    /// the tail exceeds [`MAX_TAIL_BYTES`].
     pub fn push(&mut self, record: Bytes) {
-        self.bytes += record.len();
+        self.total_bytes += record.len();
         self.records.push_back(record);
-        while self.bytes > MAX_TAIL_BYTES {
+        while self.total_bytes > MAX_TAIL_BYTES {
             let Some(oldest) = self.records.pop_front() else {
                 break;
             };
-            self.bytes -= oldest.len();
-            self.first.0 += 1;
+            self.total_bytes -= oldest.len();
+            self.base_version.0 += 1;
         }
     }
 
-    /// Returns the records after `version` up to `limit` bytes, or nothing
-    /// when the tail does not reach back that far.
-    pub fn records_after(&self, version: ConfigVersion, limit: usize) -> Option<Vec<Bytes>> {
-        if version < self.first {
+    /// Returns the records after `version`, or `None` if the tail does not reach
+    /// back that far.
+    ///
+    /// At most `max_bytes` of records are returned, but always the first one.
+    pub fn records_after(&self, version: ConfigVersion, max_bytes: usize) -> Option<Vec<Bytes>> {
+        if version < self.base_version {
             return None;
         }
-        let skip = usize::try_from(version.0 - self.first.0).ok()?;
-        let mut total = 0;
+        let skip_count = usize::try_from(version.0 - self.base_version.0).ok()?;
+        let mut total_bytes = 0;
         let mut records = Vec::new();
-        for record in self.records.iter().skip(skip) {
-            total += record.len();
-            if total > limit && !records.is_empty() {
+        for record in self.records.iter().skip(skip_count) {
+            total_bytes += record.len();
+            if total_bytes > max_bytes && !records.is_empty() {
                 break;
             }
             records.push(record.clone());
--- a/src/config/validate.rs
+++ b/src/config/validate.rs
@@ -1,8 +1,9 @@
 //! Validation of a whole set of resources.
 //!
-//! Looking at single writes is not enough: a delete can strand a route that
-//! the batch does not mention. So the check runs on the set that would result,
-//! and the first thing wrong rejects the change whole.
+//! Checking each write on its own is not enough: deleting a service can leave a
+//! dangling reference in a route that the change does not write. So validation
+//! runs on the set of resources that would result, and the first error rejects
+//! the whole change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -21,32 +22,32 @@
 /// The resources of one version by key.
 pub type ResourceMap = BTreeMap<ResourceKey, Arc<VersionedResource>>;
 
-/// Says why a change was rejected.
+/// The reason why a change, a document or a delta was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
 pub enum Rejection {
-    /// The record could not be decoded.
+    /// The record, document or delta could not be decoded or applied.
     Undecodable(String),
     /// The change has no writes.
     Empty,
-    /// The change writes one resource twice.
+    /// The change or the document writes a resource twice.
     WrittenTwice(ResourceKey),
-    /// A resource is not at the revision that the writer expects.
+    /// The precondition of a write is not met.
     Conflict {
-        /// The resource.
+        /// The resource to write.
         key: ResourceKey,
-        /// What the writer expects.
+        /// Precondition of the write.
         expected: Precondition,
-        /// Revision held, or nothing when the resource does not exist.
+        /// Actual revision, or `None` if the resource does not exist.
         held: Option<Revision>,
     },
-    /// A delete names a resource that does not exist.
+    /// The resource to delete does not exist.
     Missing(ResourceKey),
-    /// A resource names a service that does not exist.
+    /// A resource refers to a service that does not exist.
     NoService {
-        /// The resource that names it.
+        /// The resource that contains the reference.
         key: ResourceKey,
-        /// The service.
+        /// The missing service.
         service: ServiceName,
     },
     /// Two routes match the same host and path.
@@ -56,13 +57,13 @@
         /// The other route.
         other: ResourceKey,
     },
-    /// A value is out of its range.
+    /// The value of a field is out of range.
     OutOfRange {
         /// The resource.
         key: ResourceKey,
         /// Name of the field.
         field: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
@@ -113,18 +114,22 @@
 
 impl std::error::Error for Rejection {}
 
-/// Checks a whole set of resources.
+/// Validates a complete set of resources.
+///
+/// # Errors
+///
+/// Returns the first [`Rejection`] found.
 pub fn validate(resources: &ResourceMap) -> Result<(), Rejection> {
-    let mut matches = BTreeMap::new();
-    for (key, held) in resources {
-        match &held.resource {
+    let mut route_matches = BTreeMap::new();
+    for (key, entry) in resources {
+        match &entry.resource {
             Resource::Service(spec) => check_service(key, spec)?,
             Resource::Policy(spec) => check_policy(key, spec, resources)?,
             Resource::Limits(spec) => check_limits(key, spec)?,
             Resource::Route(spec) => {
                 check_route(key, spec, resources)?;
-                let place = (spec.host.clone(), match_path(spec).to_owned());
-                if let Some(other) = matches.insert(place, key.clone()) {
+                let route_match = (spec.host.clone(), unique_path(spec).to_owned());
+                if let Some(other) = route_matches.insert(route_match, key.clone()) {
                     return Err(Rejection::SameMatch {
                         one: other,
                         other: key.clone(),
@@ -136,14 +141,14 @@
     Ok(())
 }
 
-/// Returns a path prefix without its trailing slash, so that `/a` and `/a/`
-/// are one match.
+/// Returns `path` without a trailing slash, so that the prefixes `/a` and `/a/`
+/// match the same paths.
 pub fn normalize_path(path: &str) -> &str {
     path.strip_suffix('/').unwrap_or(path)
 }
 
-/// Returns what two routes must not share besides their host.
-fn match_path(spec: &RouteSpec) -> &str {
+/// Returns the path that must be unique among the routes of a host.
+fn unique_path(spec: &RouteSpec) -> &str {
     if spec.only_below {
         spec.path.as_str()
     } else {
@@ -178,17 +183,22 @@
     spec: &RouteSpec,
     resources: &ResourceMap,
 ) -> Result<(), Rejection> {
-    let mut names = BTreeSet::new();
-    let mut total: u64 = 0;
+    let mut service_names = BTreeSet::new();
+    let mut total_weight: u64 = 0;
     for weighted in &spec.services {
         require_service(key, &weighted.service, resources)?;
-        let is_new = names.insert(&weighted.service);
+        let is_new = service_names.insert(&weighted.service);
         require(key, "services", "each service once", is_new)?;
-        total += u64::from(weighted.weight);
+        total_weight += u64::from(weighted.weight);
     }
-    require(key, "services", "weights with a sum above 0", total > 0)?;
-    let deadline = (1..=MAX_DEADLINE_MS).contains(&spec.deadline_ms);
-    require(key, "deadline_ms", "1 to 3600000", deadline)?;
+    require(
+        key,
+        "services",
+        "weights with a sum above 0",
+        total_weight > 0,
+    )?;
+    let is_in_range = (1..=MAX_DEADLINE_MS).contains(&spec.deadline_ms);
+    require(key, "deadline_ms", "1 to 3600000", is_in_range)?;
     require(
         key,
         "max_concurrent",
@@ -201,10 +211,10 @@
         "1 or more",
         spec.max_attempts != Some(0),
     )?;
-    let is_reachable = spec
+    let is_in_range = spec
         .target_latency_ms
-        .is_none_or(|time| (1..=spec.deadline_ms).contains(&time));
-    require(key, "target_latency_ms", "1 to deadline_ms", is_reachable)
+        .is_none_or(|latency_ms| (1..=spec.deadline_ms).contains(&latency_ms));
+    require(key, "target_latency_ms", "1 to deadline_ms", is_in_range)
 }
 
 fn check_limits(key: &ResourceKey, spec: &LimitsSpec) -> Result<(), Rejection> {
@@ -221,10 +231,10 @@
         spec.max_head_bytes >= 256,
     )?;
     require(key, "max_body_bytes", "1 or more", spec.max_body_bytes > 0)?;
-    let head = (1..=MAX_DEADLINE_MS).contains(&spec.head_timeout_ms);
-    require(key, "head_timeout_ms", "1 to 3600000", head)?;
-    let idle = (1..=MAX_DEADLINE_MS).contains(&spec.idle_timeout_ms);
-    require(key, "idle_timeout_ms", "1 to 3600000", idle)
+    let is_in_range = (1..=MAX_DEADLINE_MS).contains(&spec.head_timeout_ms);
+    require(key, "head_timeout_ms", "1 to 3600000", is_in_range)?;
+    let is_in_range = (1..=MAX_DEADLINE_MS).contains(&spec.idle_timeout_ms);
+    require(key, "idle_timeout_ms", "1 to 3600000", is_in_range)
 }
 
 fn check_policy(
@@ -240,8 +250,8 @@
         spec.slow_start_ms <= 600_000,
     )?;
     require(key, "eject_after", "1 or more", spec.eject_after > 0)?;
-    let base = (1..=60_000).contains(&spec.eject_base_ms);
-    require(key, "eject_base_ms", "1 to 60000", base)?;
+    let is_in_range = (1..=60_000).contains(&spec.eject_base_ms);
+    require(key, "eject_base_ms", "1 to 60000", is_in_range)?;
     require(
         key,
         "eject_max_share",
@@ -254,12 +264,12 @@
         "1 to 100",
         (1..=100).contains(&spec.spill_enter.0),
     )?;
-    let leave = spec.spill_leave < spec.spill_enter;
-    require(key, "spill_leave", "less than spill_enter", leave)
+    let is_lower = spec.spill_leave < spec.spill_enter;
+    require(key, "spill_leave", "less than spill_enter", is_lower)
 }
 
-fn require(key: &ResourceKey, field: &str, allowed: &str, holds: bool) -> Result<(), Rejection> {
-    if holds {
+fn require(key: &ResourceKey, field: &str, allowed: &str, is_valid: bool) -> Result<(), Rejection> {
+    if is_valid {
         return Ok(());
     }
     Err(Rejection::OutOfRange {
