--- a/src/route/choose.rs
+++ b/src/route/choose.rs
@@ -1,11 +1,13 @@
-//! The choice among the targets of a service.
+//! Locality-aware target selection with two random choices.
 //!
-//! Near targets go first, because links between regions are billed and slow.
-//! Among them, two random ones are compared and the less loaded one wins;
-//! looking for the least loaded of all would send every node's next call to
-//! the same target (Mitzenmacher, "The Power of Two Choices in Randomized Load
-//! Balancing", 2001). Calls go further away only when the nearer targets are
-//! loaded, with hysteresis, so that the choice does not switch on every call.
+//! Nearer targets are preferred because links between regions are billed and
+//! slow. Among the eligible targets, two are picked at random and the less
+//! loaded one is chosen. Picking the least loaded of all would send the next
+//! call of every node to the same target (Mitzenmacher, "The Power of Two
+//! Choices in Randomized Load Balancing", 2001). Calls spill over to more
+//! distant targets only when the nearer ones are loaded. The thresholds for
+//! spilling over and returning differ, so that the selection does not oscillate
+//! from call to call.
 
 use std::time::{Duration, Instant};
 
@@ -16,82 +18,86 @@
 use crate::ids::{DataCentre, LinkRate, NodeAddress, RegionName};
 use crate::route::load::ServiceLoad;
 
-/// Distances: own data centre, own region, other regions.
+/// Number of distance levels: own data centre, own region, other regions.
 pub const DISTANCE_COUNT: u8 = 3;
 
-/// Latency that is added to the mean, so that a target without samples is not
-/// taken for an infinitely fast one, in seconds.
-const LATENCY_BASE: f64 = 0.001;
+/// Latency in seconds that is added to the mean, so that a target without
+/// samples does not score as infinitely fast.
+const LATENCY_OFFSET_SECS: f64 = 0.001;
 
-/// Factor on the score of a target whose node is suspected to be dead.
+/// Factor by which the score of a target gets worse while its node is suspected
+/// to be dead.
 const SUSPECT_FACTOR: f64 = 8.0;
 
-/// Least share of a target that has just come up.
-const LEAST_WARM_SHARE: f64 = 0.1;
+/// Lowest slow-start factor, which a target has when it has just come up.
+const MIN_SLOW_START_FACTOR: f64 = 0.1;
 
-/// Where a node stands.
+/// The region and data centre of a node.
 #[derive(Debug, Clone)]
 pub struct NodeLocation {
-    /// Region.
+    /// The region of the node.
     pub region: RegionName,
-    /// Data centre.
+    /// The data centre of the node.
     pub data_centre: DataCentre,
 }
 
-/// Why a target was not chosen, or that it was.
+/// The result of assessing one target for one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[non_exhaustive]
 pub enum CandidateVerdict {
-    /// It was chosen.
+    /// The target was chosen.
     Chosen,
-    /// It could have been chosen.
+    /// The target was eligible, but another one was chosen.
     Eligible,
-    /// An earlier attempt of this call went there.
+    /// An earlier attempt of this call went to the target.
     Tried,
-    /// It failed too often and is ejected for a time.
+    /// The target failed too often and is temporarily ejected.
     Ejected,
-    /// It said that it is full.
+    /// The target recently refused a call because it was full.
     Full,
-    /// Nearer targets have room.
+    /// The target is beyond the current maximum distance, and nearer targets
+    /// are available.
     TooFar,
 }
 
-/// A target with what became of it in a choice.
+/// A target and how it was assessed for one attempt.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct TargetCandidate {
-    /// The node beside the target.
+    /// The address of the node that the target is attached to.
     pub node: NodeAddress,
-    /// Data centre.
+    /// The data centre of the target.
     pub data_centre: DataCentre,
-    /// 0 for the own data centre, 1 for the own region, 2 beyond.
+    /// 0 for the same data centre, 1 for the same region, 2 for other regions.
     pub distance: u8,
-    /// Calls that it is believed to have.
+    /// Estimated number of calls that the target is running or has queued.
     pub busy: u32,
-    /// Calls that it runs at once.
+    /// Number of calls that the target runs concurrently.
     pub slots: u16,
-    /// What the link of its VM carries.
+    /// Bandwidth of the network link of the target's VM.
     pub link: LinkRate,
-    /// What became of it.
+    /// The result of the assessment.
     pub verdict: CandidateVerdict,
 }
 
-/// The result of a choice.
+/// The result of target selection for one attempt.
 #[derive(Debug, Clone)]
 pub struct TargetChoice {
-    /// Position of the chosen target, if any can be chosen.
+    /// Index of the chosen target, or `None` if no target can be chosen.
     pub chosen: Option<usize>,
-    /// All targets in the order given.
+    /// All targets, in the order in which they were passed.
     pub candidates: Vec<TargetCandidate>,
-    /// Longest wait for a slot of the chosen one that is better than going to
-    /// another.
+    /// Longest wait for a slot at the chosen target that is still better than
+    /// going to another target.
     pub patience: Duration,
-    /// Whether only targets that are full or ejected were left.
+    /// Whether the chosen target is full or ejected because no eligible one was
+    /// left.
     pub is_last_resort: bool,
 }
 
 impl NodeLocation {
-    /// Returns how far away a target is.
+    /// Returns the distance level of a target: 0 for the same data centre, 1
+    /// for the same region, 2 for other regions.
     pub fn distance(&self, target: &TargetEntry) -> u8 {
         if target.data_centre == self.data_centre {
             0
@@ -103,9 +109,9 @@
     }
 }
 
-/// Chooses a target for one attempt.
+/// Chooses a target for one attempt, by distance and two random choices.
 pub fn choose_target<R>(
-    place: &NodeLocation,
+    location: &NodeLocation,
     targets: &[TargetEntry],
     policy: &PolicySpec,
     load: &mut ServiceLoad,
@@ -116,9 +122,9 @@
 where
     R: Rng,
 {
-    let mut candidates = assess_candidates(place, targets, load, tried, now);
-    let reach = update_reach(&candidates, policy, load);
-    let eligible = within_reach(&mut candidates, reach);
+    let mut candidates = assess_candidates(location, targets, load, tried, now);
+    let max_distance = update_max_distance(&candidates, policy, load);
+    let eligible = targets_up_to(&mut candidates, max_distance);
     let chosen = match eligible.as_slice() {
         [] => None,
         [only] => Some(*only),
@@ -135,9 +141,9 @@
     }
 }
 
-/// Tells of each target whether it can be chosen.
+/// Assesses each target: whether it is eligible, or why not.
 pub(crate) fn assess_candidates(
-    place: &NodeLocation,
+    location: &NodeLocation,
     targets: &[TargetEntry],
     load: &mut ServiceLoad,
     tried: &[NodeAddress],
@@ -145,23 +151,23 @@
 ) -> Vec<TargetCandidate> {
     targets
         .iter()
-        .map(|target| judge(place, target, load, tried, now))
+        .map(|target| assess(location, target, load, tried, now))
         .collect()
 }
 
-fn judge(
-    place: &NodeLocation,
+fn assess(
+    location: &NodeLocation,
     target: &TargetEntry,
     load: &mut ServiceLoad,
     tried: &[NodeAddress],
     now: Instant,
 ) -> TargetCandidate {
-    let seen = load.get(target);
+    let target_load = load.get(target);
     let verdict = if tried.contains(&target.node) {
         CandidateVerdict::Tried
-    } else if seen.is_ejected(now) {
+    } else if target_load.is_ejected(now) {
         CandidateVerdict::Ejected
-    } else if seen.is_full(now) {
+    } else if target_load.is_full(now) {
         CandidateVerdict::Full
     } else {
         CandidateVerdict::Eligible
@@ -169,47 +175,55 @@
     TargetCandidate {
         node: target.node,
         data_centre: target.data_centre.clone(),
-        distance: place.distance(target),
-        busy: seen.busy(now),
+        distance: location.distance(target),
+        busy: target_load.busy(now),
         slots: target.slots,
         link: target.link,
         verdict,
     }
 }
 
-/// Moves the reach out when the targets within it are loaded beyond the upper
-/// bound, and back in when the nearer ones are below the lower bound.
-fn update_reach(candidates: &[TargetCandidate], policy: &PolicySpec, load: &mut ServiceLoad) -> u8 {
-    let reach = load.max_distance.min(DISTANCE_COUNT - 1);
-    let enter = f64::from(policy.spill_enter.0) / 100.0;
-    let leave = f64::from(policy.spill_leave.0) / 100.0;
-    load.max_distance = if load_within(candidates, reach) >= enter {
-        (reach + 1).min(DISTANCE_COUNT - 1)
-    } else if reach > 0 && load_within(candidates, reach - 1) < leave {
-        reach - 1
+/// Raises the maximum distance by one level when the targets within it are
+/// loaded to the policy's upper threshold (`spill_enter`), and lowers it by one
+/// when the targets of the next nearer level are loaded below the lower
+/// threshold (`spill_leave`).
+fn update_max_distance(
+    candidates: &[TargetCandidate],
+    policy: &PolicySpec,
+    load: &mut ServiceLoad,
+) -> u8 {
+    let max_distance = load.max_distance.min(DISTANCE_COUNT - 1);
+    let spill_enter_ratio = f64::from(policy.spill_enter.0) / 100.0;
+    let spill_leave_ratio = f64::from(policy.spill_leave.0) / 100.0;
+    load.max_distance = if load_up_to(candidates, max_distance) >= spill_enter_ratio {
+        (max_distance + 1).min(DISTANCE_COUNT - 1)
+    } else if max_distance > 0 && load_up_to(candidates, max_distance - 1) < spill_leave_ratio {
+        max_distance - 1
     } else {
-        reach
+        max_distance
     };
     load.max_distance
 }
 
-/// Returns the load of the targets up to a distance; none at all is full.
-fn load_within(candidates: &[TargetCandidate], reach: u8) -> f64 {
+/// Returns the share of slots in use, from 0 to 1, of the targets up to a
+/// distance. Ejected targets are left out. Without any target, the result is
+/// 1.0, so that calls spill over.
+fn load_up_to(candidates: &[TargetCandidate], max_distance: u8) -> f64 {
     let mut busy = 0;
     let mut slots = 0;
     for candidate in candidates {
-        let is_out = matches!(candidate.verdict, CandidateVerdict::Ejected);
-        if candidate.distance > reach || is_out {
+        let is_ejected = matches!(candidate.verdict, CandidateVerdict::Ejected);
+        if candidate.distance > max_distance || is_ejected {
             continue;
         }
-        let own = u32::from(candidate.slots);
+        let target_slots = u32::from(candidate.slots);
         let is_full = candidate.verdict == CandidateVerdict::Full;
         busy += if is_full {
-            own
+            target_slots
         } else {
-            candidate.busy.min(own)
+            candidate.busy.min(target_slots)
         };
-        slots += own;
+        slots += target_slots;
     }
     if slots == 0 {
         return 1.0;
@@ -217,32 +231,36 @@
     f64::from(busy) / f64::from(slots)
 }
 
-/// Returns the positions of the eligible targets within reach. When none is,
-/// the reach grows for this call; when all are full or ejected, full ones and
-/// then ejected ones are tried, since an attempt that may be refused is better
-/// than none.
-fn within_reach(candidates: &mut [TargetCandidate], reach: u8) -> Vec<usize> {
+/// Returns the indexes of the eligible targets up to `max_distance`, and marks
+/// eligible targets beyond it as too far.
+///
+/// Without an eligible target up to that distance, the distance is extended for
+/// this call. When all targets are full or ejected, full ones and then ejected
+/// ones are returned, because an attempt that may be refused is better than
+/// none.
+fn targets_up_to(candidates: &mut [TargetCandidate], max_distance: u8) -> Vec<usize> {
     for verdict in [
         CandidateVerdict::Eligible,
         CandidateVerdict::Full,
         CandidateVerdict::Ejected,
     ] {
-        for reach in reach..DISTANCE_COUNT {
-            let found: Vec<usize> = (0..candidates.len())
+        for max_distance in max_distance..DISTANCE_COUNT {
+            let matching: Vec<usize> = (0..candidates.len())
                 .filter(|index| {
-                    candidates[*index].verdict == verdict && candidates[*index].distance <= reach
+                    candidates[*index].verdict == verdict
+                        && candidates[*index].distance <= max_distance
                 })
                 .collect();
-            if found.is_empty() {
+            if matching.is_empty() {
                 continue;
             }
             for candidate in candidates.iter_mut() {
-                let is_far = candidate.distance > reach;
-                if is_far && candidate.verdict == CandidateVerdict::Eligible {
+                let is_too_far = candidate.distance > max_distance;
+                if is_too_far && candidate.verdict == CandidateVerdict::Eligible {
                     candidate.verdict = CandidateVerdict::TooFar;
                 }
             }
-            return found;
+            return matching;
         }
     }
     Vec::new()
@@ -259,20 +277,24 @@
 where
     R: Rng,
 {
-    let first = rng.random_range(0..eligible.len());
+    let first_pick = rng.random_range(0..eligible.len());
     let step = rng.random_range(1..eligible.len());
-    let second = (first + step) % eligible.len();
-    let (one, other) = (eligible[first], eligible[second]);
-    let one_score = score(&targets[one], policy, load, now);
-    let other_score = score(&targets[other], policy, load, now);
-    if one_score <= other_score { one } else { other }
+    let second_pick = (first_pick + step) % eligible.len();
+    let (first, second) = (eligible[first_pick], eligible[second_pick]);
+    let first_score = score(&targets[first], policy, load, now);
+    let second_score = score(&targets[second], policy, load, now);
+    if first_score <= second_score {
+        first
+    } else {
+        second
+    }
 }
 
-/// Returns the expected cost of one more call; less is better.
+/// Returns the score of a target for one more call; lower is better.
 fn score(target: &TargetEntry, policy: &PolicySpec, load: &mut ServiceLoad, now: Instant) -> f64 {
-    let seen = load.get(target);
-    let fill = (f64::from(seen.busy(now)) + 1.0) / f64::from(target.slots.max(1));
-    let mut score = fill * (seen.latency + LATENCY_BASE);
+    let target_load = load.get(target);
+    let fill = (f64::from(target_load.busy(now)) + 1.0) / f64::from(target.slots.max(1));
+    let mut score = fill * (target_load.latency + LATENCY_OFFSET_SECS);
     score /= slow_start_factor(now.duration_since(target.since), policy);
     if target.is_suspect {
         score *= SUSPECT_FACTOR;
@@ -280,11 +302,12 @@
     score
 }
 
-/// Returns the share that a target of this age gets, up to 1.
+/// Returns the share of its regular load that a target of this age gets while
+/// it warms up, from 0.1 to 1.
 pub fn slow_start_factor(age: Duration, policy: &PolicySpec) -> f64 {
     if policy.slow_start_ms == 0 {
         return 1.0;
     }
-    let full = Duration::from_millis(policy.slow_start_ms);
-    (age.as_secs_f64() / full.as_secs_f64()).clamp(LEAST_WARM_SHARE, 1.0)
+    let slow_start = Duration::from_millis(policy.slow_start_ms);
+    (age.as_secs_f64() / slow_start.as_secs_f64()).clamp(MIN_SLOW_START_FACTOR, 1.0)
 }
--- a/src/route/cost.rs
+++ b/src/route/cost.rs
@@ -1,19 +1,21 @@
-//! The place of a call whose route says when its answer is worth most.
+//! Cost-based target selection, for routes that set a target latency.
 //!
-//! The load pattern: targets differ in speed by a factor of three, links
-//! between data centres are billed by volume, and the load of one data centre
-//! rises above what its own targets can take in time. Going to the least loaded
-//! target everywhere makes most bytes cross a billed link; staying near until
-//! the near targets are full makes calls late. So each target is given a cost:
-//! what its distance costs for an answer of the usual size, and the part of the
-//! call's value that is likely lost by being late there. The cheapest wins.
+//! It is made for a load pattern in which targets differ in speed by a factor
+//! of three, links between data centres are billed by volume, and the load of
+//! one data centre rises above what its own targets can serve in time. Choosing
+//! the least loaded target everywhere would send most bytes over a billed link;
+//! staying local until the local targets are full would make calls late. So
+//! each target is given a cost: what its distance costs for an answer of the
+//! expected size, plus the part of the call's value that is likely lost by
+//! being late there. The cheapest target is chosen.
 //!
-//! The trade-off against two random choices: every node looks at all targets of
-//! a service, and nodes with the same picture would all choose the same one.
-//! Their distances differ, so their costs do, and a little noise does the rest.
-//! What a node believes of a target is as old as its last answer from there, so
-//! a call also carries how long a wait is better than the next best target, and
-//! a gate whose queue is longer sends it on; see
+//! The trade-off compared with two random choices is that every node looks at
+//! all targets of a service, and nodes with the same information would all
+//! choose the same target. Their distances differ, so their costs do too, and a
+//! little random noise separates the rest. What a node knows about a target is
+//! as old as the last answer from there. A call therefore also carries the
+//! longest wait that is still better than the next best target, and a gate with
+//! a longer queue sends the call back to be placed elsewhere; see
 //! [docs/decisions/0012](../../docs/decisions/0012-sent-on.md).
 
 use std::time::{Duration, Instant};
@@ -29,108 +31,112 @@
 };
 use crate::route::load::ServiceLoad;
 
-/// Share of a call's value that a kilobyte costs by distance: none within the
-/// data centre, little within the region, most between regions. The order of
-/// size is that of links which are billed by volume.
-const PRICE_PER_KB: [f64; 3] = [0.0, 0.01, 0.04];
+/// Share of a call's value that a kilobyte costs, by distance: nothing within
+/// the data centre, little within the region, most between regions. The order
+/// of magnitude is that of links that are billed by volume.
+const TRANSFER_COST_PER_KB: [f64; 3] = [0.0, 0.01, 0.04];
 
-/// Bytes of heads that a call moves besides the answer's body.
+/// Bytes of request and answer heads that a call transfers in addition to the
+/// answer's body.
 const HEAD_BYTES: f64 = 1_000.0;
 
-/// Round trips by distance, with the work of two more nodes.
+/// Round-trip time by distance, including the processing by two more nodes.
 const ROUND_TRIP: [Duration; 3] = [
     Duration::from_micros(500),
     Duration::from_millis(4),
     Duration::from_millis(18),
 ];
 
-/// Share of a call's value that a late answer still has.
-const LATE_VALUE: f64 = 0.3;
+/// Share of its value that a call keeps if its answer is late.
+const LATE_ANSWER_VALUE: f64 = 0.3;
 
 /// Spread of run times around the expected one, as a share of it.
 const RUN_SPREAD: f64 = 0.35;
 
-/// How much longer a run takes on a target with all slots in use.
-const CROWD_FACTOR: f64 = 0.4;
+/// Share by which a run takes longer on a target with all slots in use.
+const FULL_TARGET_SLOWDOWN: f64 = 0.4;
 
-/// Share of the value that a target with all slots in use costs beyond its
-/// time: it has no room for what other nodes send in the same moment, of which
-/// this one hears only later.
-const CROWD_COST: f64 = 0.08;
+/// Share of a call's value that a target with all slots in use costs in
+/// addition to its time: it has no room for the calls that other nodes send at
+/// the same moment, which this node only learns about later.
+const FULL_TARGET_COST: f64 = 0.08;
 
-/// Share of the value that is put at risk by a target that always fails: one
-/// more attempt is likely, and its time.
-const FAULT_COST: f64 = 0.6;
+/// Share of a call's value that is at risk at a target that always fails:
+/// another attempt is likely, and takes time.
+const FAILURE_COST: f64 = 0.6;
 
-/// Cost of a target whose node is suspected to be dead.
+/// Cost of a target whose node is suspected to be dead, as a share of the
+/// call's value.
 const SUSPECT_COST: f64 = 0.5;
 
-/// Share of the value that the whole target latency costs: of two targets that
-/// are both in time the faster one wins.
-const TIME_COST: f64 = 0.03;
+/// Share of a call's value that taking the whole target latency costs: of two
+/// targets that are both in time, the faster one is chosen.
+const LATENCY_COST: f64 = 0.03;
 
-/// Halvings by which the longest useful wait is found.
-const PATIENCE_STEPS: u32 = 6;
+/// Bisection steps to find the longest useful wait.
+const MAX_WAIT_STEPS: u32 = 6;
 
-/// Largest random cost: what parts equals, and less than what half a target's
-/// slots cost, or calls would leave a near target with room now and then.
-const NOISE: f64 = 0.005;
+/// Largest random cost, which breaks ties between equal targets. It is less
+/// than the cost of half of a target's slots being in use; otherwise, calls
+/// would now and then leave a local target that has free slots.
+const MAX_NOISE_COST: f64 = 0.005;
 
-/// What a call asks of its place.
+/// What a call requires of the target that serves it.
 #[derive(Debug, Clone, Copy)]
 pub struct CallRequirements {
-    /// Time left within which an answer is worth most.
+    /// Time left until the route's target latency is over, after which an
+    /// answer is late.
     pub aim: Duration,
-    /// Time left until no answer is worth anything.
+    /// Time left until the deadline, after which an answer is worthless.
     pub deadline: Duration,
     /// Expected size of the answer's body in bytes.
     pub answer_bytes: f64,
-    /// Expected time of a run on a target that reported none.
+    /// Expected run time on a target that reported none.
     pub run: Duration,
 }
 
-/// One attempt that is to be placed.
+/// An attempt for which a target is to be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// Its route.
+    /// The route of the call.
     pub route: &'a RouteName,
-    /// What the call asks.
+    /// The requirements of the call.
     pub demand: &'a CallRequirements,
-    /// Nodes that had an attempt already.
+    /// Nodes that earlier attempts of the call went to.
     pub tried: &'a [NodeAddress],
 }
 
-/// Chooses the target with the least cost.
+/// Chooses the target with the least expected cost.
 pub fn choose_cheapest_target<R>(
-    place: &NodeLocation,
+    location: &NodeLocation,
     targets: &[TargetEntry],
     policy: &PolicySpec,
     load: &mut ServiceLoad,
-    call: PlacementRequest<'_>,
+    request: PlacementRequest<'_>,
     now: Instant,
     rng: &mut R,
 ) -> TargetChoice
 where
     R: Rng,
 {
-    let mut candidates = assess_candidates(place, targets, load, call.tried, now);
-    let mut prices = Vec::with_capacity(targets.len());
+    let mut candidates = assess_candidates(location, targets, load, request.tried, now);
+    let mut target_costs = Vec::with_capacity(targets.len());
     for (target, candidate) in targets.iter().zip(&candidates) {
-        let seen = load.get(target);
-        let mut extra = seen.failure_rate(now) * FAULT_COST;
-        extra += cold_cost(target, policy, now);
+        let target_load = load.get(target);
+        let mut fixed_cost = target_load.failure_rate(now) * FAILURE_COST;
+        fixed_cost += slow_start_cost(target, policy, now);
         if target.is_suspect {
-            extra += SUSPECT_COST;
+            fixed_cost += SUSPECT_COST;
         }
-        prices.push(PlacePrice {
+        target_costs.push(TargetCost {
             candidate: candidate.clone(),
-            run: seen
-                .mean_run_time(call.route, now)
-                .unwrap_or(call.demand.run),
-            extra: extra + rng.random_range(0.0..NOISE),
+            run: target_load
+                .mean_run_time(request.route, now)
+                .unwrap_or(request.demand.run),
+            fixed_cost: fixed_cost + rng.random_range(0.0..MAX_NOISE_COST),
         });
     }
-    let Some(chosen) = cheapest(&prices, call.demand) else {
+    let Some(chosen) = cheapest(&target_costs, request.demand) else {
         return TargetChoice {
             chosen: None,
             candidates,
@@ -143,79 +149,84 @@
     TargetChoice {
         chosen: Some(chosen),
         candidates,
-        patience: patience_at(&prices, chosen, call.demand),
+        patience: max_useful_wait(&target_costs, chosen, request.demand),
         is_last_resort,
     }
 }
 
-/// Returns the longest wait at the chosen target that is better than going to
-/// the next best one, by way of this node.
-fn patience_at(prices: &[PlacePrice], chosen: usize, demand: &CallRequirements) -> Duration {
-    let detour = prices[chosen].round_trip();
-    let next_best = prices
+/// Returns the longest wait at the chosen target that is still better than the
+/// next best target, which the call would reach by way of this node.
+fn max_useful_wait(
+    target_costs: &[TargetCost],
+    chosen: usize,
+    demand: &CallRequirements,
+) -> Duration {
+    let detour = target_costs[chosen].round_trip();
+    let next_best = target_costs
         .iter()
         .enumerate()
-        .filter(|(index, price)| {
-            *index != chosen && price.candidate.verdict == CandidateVerdict::Eligible
+        .filter(|(index, target_cost)| {
+            *index != chosen && target_cost.candidate.verdict == CandidateVerdict::Eligible
         })
-        .map(|(_, price)| price.believed(demand, detour))
+        .map(|(_, target_cost)| target_cost.expected_cost(demand, detour))
         .min_by(f64::total_cmp);
     next_best.map_or(Duration::MAX, |limit| {
-        prices[chosen].longest_wait(demand, limit)
+        target_costs[chosen].longest_wait_within(demand, limit)
     })
 }
 
-/// What a call costs at one target, as a share of its value.
+/// The inputs to the cost of a call at one target. Costs are shares of the
+/// call's value.
 #[derive(Debug)]
-struct PlacePrice {
+struct TargetCost {
     candidate: TargetCandidate,
     run: Duration,
-    extra: f64,
+    fixed_cost: f64,
 }
 
-impl PlacePrice {
+impl TargetCost {
     fn distance(&self) -> usize {
-        usize::from(self.candidate.distance).min(PRICE_PER_KB.len() - 1)
+        usize::from(self.candidate.distance).min(TRANSFER_COST_PER_KB.len() - 1)
     }
 
     fn round_trip(&self) -> Duration {
         ROUND_TRIP[self.distance()]
     }
 
-    /// Returns the cost by what is believed of the target's load, when the call
-    /// gets there `later`.
-    fn believed(&self, demand: &CallRequirements, later: Duration) -> f64 {
-        let crowd = fill(&self.candidate).powi(2) * CROWD_COST;
-        self.at(demand, later + completion(&self.candidate, self.run)) + crowd
+    /// Returns the expected cost at the estimated load of the target, if the
+    /// call gets there after `delay`.
+    fn expected_cost(&self, demand: &CallRequirements, delay: Duration) -> f64 {
+        let full_cost = fill(&self.candidate).powi(2) * FULL_TARGET_COST;
+        self.cost_for_time(demand, delay + completion_time(&self.candidate, self.run)) + full_cost
     }
 
-    /// Returns the cost if the call waits for a slot for `wait`: no slot is free
-    /// then.
-    fn after_wait(&self, demand: &CallRequirements, wait: Duration) -> f64 {
-        let run = self.run.mul_f64(1.0 + CROWD_FACTOR);
-        self.at(demand, wait + run) + CROWD_COST
+    /// Returns the cost if the call waits for a slot for `wait`, which means
+    /// that all slots are in use when it starts.
+    fn cost_after_wait(&self, demand: &CallRequirements, wait: Duration) -> f64 {
+        let run = self.run.mul_f64(1.0 + FULL_TARGET_SLOWDOWN);
+        self.cost_for_time(demand, wait + run) + FULL_TARGET_COST
     }
 
-    /// Returns the cost if the target takes `time`.
-    fn at(&self, demand: &CallRequirements, time: Duration) -> f64 {
+    /// Returns the cost if the target takes `time` until the call ends.
+    fn cost_for_time(&self, demand: &CallRequirements, time: Duration) -> f64 {
         let bytes = demand.answer_bytes + HEAD_BYTES;
-        let transfer = PRICE_PER_KB[self.distance()] * bytes / 1024.0;
+        let transfer_cost = TRANSFER_COST_PER_KB[self.distance()] * bytes / 1024.0;
         let time =
             time + self.round_trip() + self.candidate.link.transfer_time(demand.answer_bytes);
-        let late = chance_over(time, demand.aim) * (1.0 - LATE_VALUE);
-        let lost = chance_over(time, demand.deadline) * LATE_VALUE;
+        let late_cost = probability_over(time, demand.aim) * (1.0 - LATE_ANSWER_VALUE);
+        let missed_cost = probability_over(time, demand.deadline) * LATE_ANSWER_VALUE;
         let aim = demand.aim.as_secs_f64().max(0.001);
-        let slow = (time.as_secs_f64() / aim).min(1.0) * TIME_COST;
-        transfer + late + lost + slow + self.extra
+        let latency_cost = (time.as_secs_f64() / aim).min(1.0) * LATENCY_COST;
+        transfer_cost + late_cost + missed_cost + latency_cost + self.fixed_cost
     }
 
-    /// Returns the longest wait here that costs no more than `limit`, to within
-    /// a step of 1 in 64 of the call's time.
-    fn longest_wait(&self, demand: &CallRequirements, limit: f64) -> Duration {
+    /// Returns the longest wait at this target that costs no more than `limit`,
+    /// to within 1/64 of the time left until the deadline.
+    fn longest_wait_within(&self, demand: &CallRequirements, limit: f64) -> Duration {
         let (mut low, mut high) = (Duration::ZERO, demand.deadline);
-        for _ in 0..PATIENCE_STEPS {
+        for _ in 0..MAX_WAIT_STEPS {
             let middle = (low + high) / 2;
-            if self.after_wait(demand, middle) <= limit {
+            if self.cost_after_wait(demand, middle) <= limit {
                 low = middle;
             } else {
                 high = middle;
@@ -232,47 +243,47 @@
 }
 
 /// Returns the expected time until a call at a target ends.
-fn completion(candidate: &TargetCandidate, run: Duration) -> Duration {
+fn completion_time(candidate: &TargetCandidate, run: Duration) -> Duration {
     let slots = f64::from(candidate.slots.max(1));
     let busy = f64::from(candidate.busy);
     let fill = fill(candidate);
-    let waiting = (busy + 1.0 - slots).max(0.0);
-    run.mul_f64(1.0 + CROWD_FACTOR * fill * fill + waiting / slots)
+    let queued = (busy + 1.0 - slots).max(0.0);
+    run.mul_f64(1.0 + FULL_TARGET_SLOWDOWN * fill * fill + queued / slots)
 }
 
-/// Returns the chance that a time which is expected to be `time` is more than
-/// `limit`, from 0 to 1.
-fn chance_over(time: Duration, limit: Duration) -> f64 {
+/// Returns the probability, from 0 to 1, that a duration with the expected
+/// value `time` exceeds `limit`.
+fn probability_over(time: Duration, limit: Duration) -> f64 {
     let time = time.as_secs_f64();
     let spread = (time * RUN_SPREAD).max(0.001);
     let distance = (time - limit.as_secs_f64()) / spread;
     1.0 / (1.0 + (-2.0 * distance).exp())
 }
 
-/// Returns the cost of a target that has just come up and runs slowly.
-fn cold_cost(target: &TargetEntry, policy: &PolicySpec, now: Instant) -> f64 {
-    let warm = slow_start_factor(now.saturating_duration_since(target.since), policy);
-    (1.0 - warm) * TIME_COST
+/// Returns the cost of a target that has just come up and still runs slowly.
+fn slow_start_cost(target: &TargetEntry, policy: &PolicySpec, now: Instant) -> f64 {
+    let factor = slow_start_factor(now.saturating_duration_since(target.since), policy);
+    (1.0 - factor) * LATENCY_COST
 }
 
-/// Returns the cheapest target that can be chosen; full ones and then ejected
-/// ones where there is no other, since an attempt that may be refused is better
-/// than none.
-fn cheapest(prices: &[PlacePrice], demand: &CallRequirements) -> Option<usize> {
-    let costs: Vec<f64> = prices
+/// Returns the index of the cheapest eligible target. If none is eligible, full
+/// ones and then ejected ones are considered, because an attempt that may be
+/// refused is better than none.
+fn cheapest(target_costs: &[TargetCost], demand: &CallRequirements) -> Option<usize> {
+    let costs: Vec<f64> = target_costs
         .iter()
-        .map(|price| price.believed(demand, Duration::ZERO))
+        .map(|target_cost| target_cost.expected_cost(demand, Duration::ZERO))
         .collect();
     for verdict in [
         CandidateVerdict::Eligible,
         CandidateVerdict::Full,
         CandidateVerdict::Ejected,
     ] {
-        let found = (0..prices.len())
-            .filter(|index| prices[*index].candidate.verdict == verdict)
-            .min_by(|one, other| costs[*one].total_cmp(&costs[*other]));
-        if found.is_some() {
-            return found;
+        let best = (0..target_costs.len())
+            .filter(|index| target_costs[*index].candidate.verdict == verdict)
+            .min_by(|a, b| costs[*a].total_cmp(&costs[*b]));
+        if best.is_some() {
+            return best;
         }
     }
     None
--- a/src/route/estimate.rs
+++ b/src/route/estimate.rs
@@ -1,8 +1,9 @@
-//! How large the answers of a route are and how long they take.
+//! Estimates the size and the duration of the answers of each route.
 //!
-//! Links between regions are billed by volume and some links are thin, so the
-//! size of an answer decides how far away a call may go. It is learned from
-//! the answers that passed, since nobody announces it.
+//! Links between regions are billed by volume and some links have little
+//! bandwidth, so the size of an answer decides how far away a call may go. No
+//! one announces it, so it is learned from the answers that pass through this
+//! node.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -11,64 +12,72 @@
 use crate::clock::lock;
 use crate::ids::RouteName;
 
-/// Share of the mean that a new sample gets.
+/// Weight of a new sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Size that is assumed before the first answer, in bytes: a small page.
-const FIRST_GUESS: f64 = 2048.0;
+/// Estimated size in bytes before the first answer: a small page.
+const DEFAULT_ANSWER_BYTES: f64 = 2048.0;
 
-/// Most routes remembered.
-const ROUTE_LIMIT: usize = 4096;
+/// Largest number of routes that are kept.
+const MAX_ROUTES: usize = 4096;
 
-/// Time that is assumed before the first answer.
-const FIRST_RUN: Duration = Duration::from_millis(150);
+/// Estimated duration before the first answer.
+const DEFAULT_RUN_TIME: Duration = Duration::from_millis(150);
 
-/// What to expect of the next answer.
+/// The estimate for the next answer of a route.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AnswerEstimate {
-    /// Size in bytes.
+    /// Size of the answer in bytes.
     pub bytes: f64,
-    /// Time until it is there.
+    /// Time until the answer arrives.
     pub run: Duration,
 }
 
-/// Mean sizes of answers by route; a cheap handle.
+/// Moving averages of answer sizes and durations by route. Clones share the
+/// same averages.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerEstimator {
-    means: Arc<Mutex<HashMap<RouteName, AnswerEstimate>>>,
+    averages: Arc<Mutex<HashMap<RouteName, AnswerEstimate>>>,
 }
 
 impl AnswerEstimator {
-    /// Returns an empty book.
+    /// Returns an estimator without any samples.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the size of one answer in bytes and the time that it took.
-    pub fn record(&self, route: &RouteName, bytes: u64, took: Duration) {
+    /// Records the size of one answer in bytes and the time that it took.
+    pub fn record(&self, route: &RouteName, bytes: u64, elapsed: Duration) {
         let bytes = bytes as f64;
-        let mut means = lock(&self.means);
-        if let Some(mean) = means.get_mut(route) {
-            mean.bytes += (bytes - mean.bytes) * SAMPLE_WEIGHT;
-            mean.run = mean.run.mul_f64(1.0 - SAMPLE_WEIGHT) + took.mul_f64(SAMPLE_WEIGHT);
+        let mut averages = lock(&self.averages);
+        if let Some(average) = averages.get_mut(route) {
+            average.bytes += (bytes - average.bytes) * SAMPLE_WEIGHT;
+            average.run = average.run.mul_f64(1.0 - SAMPLE_WEIGHT) + elapsed.mul_f64(SAMPLE_WEIGHT);
             return;
         }
-        if means.len() >= ROUTE_LIMIT {
-            means.clear();
+        if averages.len() >= MAX_ROUTES {
+            averages.clear();
         }
-        means.insert(route.clone(), AnswerEstimate { bytes, run: took });
+        averages.insert(
+            route.clone(),
+            AnswerEstimate {
+                bytes,
+                run: elapsed,
+            },
+        );
     }
 
-    /// Returns the means of a route that had answers.
+    /// Returns the averages of a route, or `None` if it has had no answer.
     pub fn measured(&self, route: &RouteName) -> Option<AnswerEstimate> {
-        lock(&self.means).get(route).copied()
+        lock(&self.averages).get(route).copied()
     }
 
-    /// Returns what to expect of the next answer.
+    /// Returns the estimate for the next answer of a route, falling back to
+    /// fixed defaults.
     pub fn estimate(&self, route: &RouteName) -> AnswerEstimate {
         self.measured(route).unwrap_or(AnswerEstimate {
-            bytes: FIRST_GUESS,
-            run: FIRST_RUN,
+            bytes: DEFAULT_ANSWER_BYTES,
+            run: DEFAULT_RUN_TIME,
         })
     }
 }
--- a/src/route/limit.rs
+++ b/src/route/limit.rs
@@ -1,4 +1,4 @@
-//! The bound on the calls that one node has under way on a route.
+//! Limits the concurrent calls of one node on each route.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -6,35 +6,40 @@
 use crate::clock::lock;
 use crate::ids::RouteName;
 
-/// Counts the calls under way on each route; a cheap handle.
+/// Counts the calls in flight on each route. Clones share the same counts.
 #[derive(Debug, Clone, Default)]
 pub struct RouteLimiter {
     counts: Arc<Mutex<HashMap<RouteName, u32>>>,
 }
 
-/// A call that is counted until this is dropped.
+/// A call on a route, counted as in flight until this permit is dropped.
 #[derive(Debug)]
 pub struct RoutePermit {
-    limit: RouteLimiter,
+    limiter: RouteLimiter,
     route: RouteName,
 }
 
 impl RouteLimiter {
-    /// Returns a limit with no call under way.
+    /// Returns a limiter without any call in flight.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts a call, or returns nothing when `most` are under way.
-    pub fn try_acquire(&self, route: &RouteName, most: Option<u32>) -> Option<RoutePermit> {
+    /// Counts a call as in flight, or returns `None` if `max_concurrent` calls
+    /// already are. Without a maximum, the call is always admitted.
+    pub fn try_acquire(
+        &self,
+        route: &RouteName,
+        max_concurrent: Option<u32>,
+    ) -> Option<RoutePermit> {
         let mut counts = lock(&self.counts);
         let count = counts.entry(route.clone()).or_default();
-        if most.is_some_and(|most| *count >= most) {
+        if max_concurrent.is_some_and(|max_concurrent| *count >= max_concurrent) {
             return None;
         }
         *count += 1;
         Some(RoutePermit {
-            limit: self.clone(),
+            limiter: self.clone(),
             route: route.clone(),
         })
     }
@@ -42,7 +47,7 @@
 
 impl Drop for RoutePermit {
     fn drop(&mut self) {
-        let mut counts = lock(&self.limit.counts);
+        let mut counts = lock(&self.limiter.counts);
         if let Some(count) = counts.get_mut(&self.route) {
             *count -= 1;
             if *count == 0 {
--- a/src/route/load.rs
+++ b/src/route/load.rs
@@ -1,4 +1,4 @@
-//! What a node saw of each target: calls under way, reported load, latency
+//! Per-target statistics of one node: calls in flight, reported load, latency
 //! and failures.
 
 use std::collections::HashMap;
@@ -10,77 +10,78 @@
 use crate::config::view::TargetEntry;
 use crate::ids::{Incarnation, NodeAddress, RouteName, ServiceName};
 
-/// How long a reported load is believed.
+/// How long a reported load is used.
 pub const REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// How long a reported time of runs is believed.
+/// How long a reported run time is used.
 pub const RUN_TIME_TTL: Duration = Duration::from_secs(5);
 
-/// How long a target that said it is full is passed over.
+/// How long a target that refused a call as full is not chosen.
 pub const FULL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Longest ejection.
+/// Longest time for which a target is ejected.
 pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
-/// Share of the failures' mean that a new sample gets: three failures in a row
-/// tell a failing target from one with a rare error.
-const FAULT_WEIGHT: f64 = 0.25;
+/// Weight of a new sample in the moving average of failures. With 0.25, three
+/// failures in a row distinguish a failing target from one with a rare error.
+const FAILURE_WEIGHT: f64 = 0.25;
 
-/// Time in which what is held against a target halves.
-const FAULT_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Half-life of the failure rate while a target gets no calls.
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Share of the latency mean that a new sample gets.
+/// Weight of a new sample in the moving average of the latency.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// What a node saw of one target in one life of its node.
+/// Statistics about one target, kept for one incarnation of its node.
 #[derive(Debug, Clone)]
 pub struct TargetLoad {
-    /// Life of the node beside the target.
+    /// Incarnation of the node that the target is attached to.
     pub incarnation: Incarnation,
-    /// Calls of this node that are under way.
+    /// Number of calls from this node that are in flight.
     pub in_flight: u32,
-    /// Calls that the gate last said were running or waiting, of this node
-    /// and others, with the calls of this node at that time.
-    report: Option<(Instant, u32, u32)>,
-    /// Mean time to an answer, in seconds.
+    /// The gate's last load report: when it arrived, the calls that were
+    /// running or queued there from all nodes, and the calls that this node had
+    /// in flight when it arrived.
+    last_report: Option<(Instant, u32, u32)>,
+    /// Moving average of the time to an answer, in seconds.
     pub latency: f64,
-    failures: u32,
+    consecutive_failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
     full_until: Option<Instant>,
-    runs: Vec<RouteRun>,
-    faults: FaultShare,
+    run_times: Vec<RouteRunTime>,
+    failure_average: FailureRate,
 }
 
-/// What a gate reported of the runs of one route.
+/// The mean run time of one route, as reported by a gate.
 #[derive(Debug, Clone)]
-struct RouteRun {
+struct RouteRunTime {
     route: RouteName,
     mean: Duration,
-    when: Instant,
+    reported_at: Instant,
 }
 
-/// The share of calls that failed lately. It fades, so that a target which is
-/// passed over for its failures is tried again.
+/// An exponentially weighted failure rate. It decays with time, so that a
+/// target which is avoided because of its failures is tried again.
 #[derive(Debug, Clone, Copy, Default)]
-struct FaultShare {
-    share: f64,
+struct FailureRate {
+    rate: f64,
     updated: Option<Instant>,
 }
 
-impl FaultShare {
-    fn at(self, now: Instant) -> f64 {
+impl FailureRate {
+    fn rate_at(self, now: Instant) -> f64 {
         let Some(updated) = self.updated else {
             return 0.0;
         };
         let age = now.saturating_duration_since(updated).as_secs_f64();
-        self.share * 0.5_f64.powf(age / FAULT_HALF_LIFE.as_secs_f64())
+        self.rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
-    fn note(&mut self, is_fault: bool, now: Instant) {
-        let held = self.at(now);
-        let sample = if is_fault { 1.0 } else { 0.0 };
-        self.share = held + (sample - held) * FAULT_WEIGHT;
+    fn record(&mut self, is_failure: bool, now: Instant) {
+        let decayed = self.rate_at(now);
+        let sample = if is_failure { 1.0 } else { 0.0 };
+        self.rate = decayed + (sample - decayed) * FAILURE_WEIGHT;
         self.updated = Some(now);
     }
 }
@@ -90,81 +91,92 @@
         Self {
             incarnation,
             in_flight: 0,
-            report: None,
+            last_report: None,
             latency: 0.0,
-            failures: 0,
+            consecutive_failures: 0,
             ejections: 0,
             ejected_until: None,
             full_until: None,
-            runs: Vec::new(),
-            faults: FaultShare::default(),
+            run_times: Vec::new(),
+            failure_average: FailureRate::default(),
         }
     }
 
-    /// Returns the mean time of a route's runs, if the gate reported it lately.
-    /// An older report would keep a target that was slow for a time out of use
-    /// for ever, since only a call brings a new one.
+    /// Returns the mean run time of a route at this target, if the gate
+    /// reported it within [`RUN_TIME_TTL`].
+    ///
+    /// Only a call brings a new report. If old reports counted, a target that
+    /// was slow for a while would never be used again.
     pub fn mean_run_time(&self, route: &RouteName, now: Instant) -> Option<Duration> {
-        self.runs
+        self.run_times
             .iter()
             .find(|run| run.route == *route)
-            .filter(|run| now.saturating_duration_since(run.when) < RUN_TIME_TTL)
+            .filter(|run| now.saturating_duration_since(run.reported_at) < RUN_TIME_TTL)
             .map(|run| run.mean)
     }
 
-    /// Returns the share of calls that failed lately, from 0 to 1.
+    /// Returns the recent failure rate, from 0 to 1.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        self.faults.at(now)
+        self.failure_average.rate_at(now)
     }
 
-    /// Returns the calls that the target is believed to have.
+    /// Returns the estimated number of calls that the target is running or has
+    /// queued: the last report, corrected by the calls that this node has
+    /// started or finished since.
     pub fn busy(&self, now: Instant) -> u32 {
-        match self.report {
-            Some((when, busy, own)) if now.duration_since(when) < REPORT_TTL => {
-                busy.saturating_sub(own).saturating_add(self.in_flight)
+        match self.last_report {
+            Some((reported_at, busy, own_in_flight))
+                if now.duration_since(reported_at) < REPORT_TTL =>
+            {
+                busy.saturating_sub(own_in_flight)
+                    .saturating_add(self.in_flight)
             }
             Some(_) | None => self.in_flight,
         }
     }
 
-    /// Tells whether the target is ejected.
+    /// Returns `true` if the target is ejected.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Tells whether the target just said that it is full.
+    /// Returns `true` if the target refused a call as full within the last
+    /// [`FULL_BACKOFF`].
     pub fn is_full(&self, now: Instant) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 }
 
-/// How an attempt ended, as far as the choice of targets cares.
+/// The outcome of an attempt, as far as it affects target selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The target answered.
     Answered,
-    /// The gate refused because it is full.
+    /// The gate refused the call because it is full.
     Full,
-    /// The gate refused for a reason that says nothing about its health.
+    /// The gate refused the call for a reason that says nothing about the
+    /// target's health.
     Refused,
-    /// The target or its gate could not be reached or lost the exchange.
+    /// The target or its gate was unreachable, or the connection broke during
+    /// the call.
     Failed,
-    /// The target answered with a failure or turned the call away.
+    /// The target answered with a failure or rejected the call.
     Faulty,
-    /// The gate could not be reached and is passed over for a time.
+    /// The gate was unreachable and is ejected for the given time.
     Unreachable(Duration),
 }
 
-/// What a node saw of the targets of one service.
+/// Statistics about the targets of one service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceLoad {
     targets: HashMap<NodeAddress, TargetLoad>,
-    /// Furthest distance that calls go to.
+    /// Highest distance level to which calls currently go.
     pub max_distance: u8,
 }
 
 impl ServiceLoad {
-    /// Returns what was seen of a target; nothing from an earlier life.
+    /// Returns the statistics of a target. They are reset when the node of the
+    /// target has a newer incarnation; only the calls in flight are kept.
     pub fn get(&mut self, target: &TargetEntry) -> &mut TargetLoad {
         let load = self
             .targets
@@ -178,35 +190,39 @@
         load
     }
 
-    /// Forgets targets that the view no longer has.
+    /// Removes targets that the view no longer has and that have no call in
+    /// flight.
     pub fn retain_targets(&mut self, targets: &[TargetEntry]) {
         self.targets.retain(|node, load| {
             load.in_flight > 0 || targets.iter().any(|target| target.node == *node)
         });
     }
 
-    /// Counts an attempt that starts.
+    /// Counts an attempt as in flight.
     pub fn start_attempt(&mut self, target: &TargetEntry) {
         self.get(target).in_flight += 1;
     }
 
-    /// Counts an attempt that ended without touching the standing of its target.
+    /// Counts an attempt as no longer in flight. The result is recorded
+    /// separately by [`Self::record_result`].
     pub fn finish_attempt(&mut self, node: NodeAddress) {
         if let Some(load) = self.targets.get_mut(&node) {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
     }
 
-    /// Takes the load that a gate reported with its answer.
+    /// Records the load that a gate reported with its answer.
     pub fn record_load(&mut self, node: NodeAddress, busy: u32, now: Instant) {
         if let Some(load) = self.targets.get_mut(&node) {
-            load.report = Some((now, busy, load.in_flight));
+            load.last_report = Some((now, busy, load.in_flight));
         }
     }
 
-    /// Takes the mean time of a route's runs that a gate reported with its
-    /// answer. Routes are kept apart: a target that has many short calls is not
-    /// faster than one that has few.
+    /// Records the mean run time of a route that a gate reported with its
+    /// answer.
+    ///
+    /// Run times are kept per route, because a target that serves many short
+    /// calls isn't faster than one that serves few.
     pub fn record_run_time(
         &mut self,
         node: NodeAddress,
@@ -217,33 +233,35 @@
         let Some(load) = self.targets.get_mut(&node) else {
             return;
         };
-        load.runs.retain(|run| {
-            run.route != *route && now.saturating_duration_since(run.when) < RUN_TIME_TTL
+        load.run_times.retain(|run| {
+            run.route != *route && now.saturating_duration_since(run.reported_at) < RUN_TIME_TTL
         });
-        load.runs.push(RouteRun {
+        load.run_times.push(RouteRunTime {
             route: route.clone(),
             mean,
-            when: now,
+            reported_at: now,
         });
     }
 
-    /// Takes the result of an attempt, and ejects the target when it failed
-    /// too often. At most the policy's share of `all` targets is ejected.
-    /// Returns the ejection time when it ejects.
+    /// Records the result of an attempt, and ejects the target if it failed too
+    /// often. At most the policy's share of `target_count` targets is ejected
+    /// at once.
+    ///
+    /// Returns the ejection time if the target is ejected.
     pub fn record_result(
         &mut self,
         target: &TargetEntry,
         result: AttemptResult,
-        took: Duration,
+        elapsed: Duration,
         policy: &PolicySpec,
-        all: usize,
+        target_count: usize,
         now: Instant,
     ) -> Option<Duration> {
         let load = self.get(target);
         match result {
-            AttemptResult::Answered => load.faults.note(false, now),
+            AttemptResult::Answered => load.failure_average.record(false, now),
             AttemptResult::Failed | AttemptResult::Faulty | AttemptResult::Unreachable(_) => {
-                load.faults.note(true, now);
+                load.failure_average.record(true, now);
             }
             AttemptResult::Full | AttemptResult::Refused => {}
         }
@@ -254,9 +272,9 @@
                 Some(time)
             }
             AttemptResult::Answered => {
-                let sample = took.as_secs_f64();
+                let sample = elapsed.as_secs_f64();
                 load.latency += (sample - load.latency) * LATENCY_WEIGHT;
-                load.failures = 0;
+                load.consecutive_failures = 0;
                 load.ejections = 0;
                 None
             }
@@ -266,9 +284,10 @@
             }
             AttemptResult::Refused => None,
             AttemptResult::Failed => {
-                load.failures += 1;
-                let is_due = load.failures >= policy.eject_after && !load.is_ejected(now);
-                if is_due && self.may_eject(policy, all, now) {
+                load.consecutive_failures += 1;
+                let should_eject =
+                    load.consecutive_failures >= policy.eject_after && !load.is_ejected(now);
+                if should_eject && self.may_eject(policy, target_count, now) {
                     return Some(self.eject(target, policy, now));
                 }
                 None
@@ -276,7 +295,7 @@
         }
     }
 
-    /// Returns the number of targets that are ejected.
+    /// Returns the number of targets that are currently ejected.
     pub fn ejected_count(&self, now: Instant) -> usize {
         self.targets
             .values()
@@ -284,35 +303,38 @@
             .count()
     }
 
-    fn may_eject(&self, policy: &PolicySpec, all: usize, now: Instant) -> bool {
-        (self.ejected_count(now) + 1) * 100 <= all * usize::from(policy.eject_max_share.0)
+    fn may_eject(&self, policy: &PolicySpec, target_count: usize, now: Instant) -> bool {
+        (self.ejected_count(now) + 1) * 100 <= target_count * usize::from(policy.eject_max_share.0)
     }
 
     fn eject(&mut self, target: &TargetEntry, policy: &PolicySpec, now: Instant) -> Duration {
         let load = self.get(target);
-        let factor = 1_u32 << load.ejections.min(10);
-        let time = (Duration::from_millis(policy.eject_base_ms) * factor).min(MAX_EJECTION_TIME);
+        let backoff_factor = 1_u32 << load.ejections.min(10);
+        let ejection_time =
+            (Duration::from_millis(policy.eject_base_ms) * backoff_factor).min(MAX_EJECTION_TIME);
         load.ejections += 1;
-        // One more failure after the ejection ejects again, for longer.
-        load.failures = policy.eject_after - 1;
-        load.ejected_until = Some(now + time);
-        time
+        // A single failure after the ejection ejects the target again, for
+        // longer.
+        load.consecutive_failures = policy.eject_after - 1;
+        load.ejected_until = Some(now + ejection_time);
+        ejection_time
     }
 }
 
-/// What a node saw of all targets; a cheap handle.
+/// Statistics about the targets of all services. Clones share the same
+/// statistics.
 #[derive(Debug, Clone, Default)]
 pub struct LoadTracker {
     services: Arc<RwLock<HashMap<ServiceName, Arc<Mutex<ServiceLoad>>>>>,
 }
 
 impl LoadTracker {
-    /// Returns an empty book.
+    /// Returns a tracker without any statistics.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the page of a service.
+    /// Returns the statistics of a service, creating them if there are none.
     pub fn service(&self, name: &ServiceName) -> Arc<Mutex<ServiceLoad>> {
         let services = self.services.read().unwrap_or_else(|e| e.into_inner());
         if let Some(load) = services.get(name) {
@@ -323,7 +345,7 @@
         Arc::clone(services.entry(name.clone()).or_default())
     }
 
-    /// Runs `f` on the page of a service.
+    /// Calls `f` with the locked statistics of a service.
     pub fn with_service<F, T>(&self, name: &ServiceName, f: F) -> T
     where
         F: FnOnce(&mut ServiceLoad) -> T,
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,8 +1,8 @@
-//! Choosing the target of a call.
+//! Target selection for calls.
 //!
-//! Health and load endpoints lag or mislead, so the choice rests on what this
-//! node saw itself: calls under way, slots that gates reported with their
-//! answers, latency, and failures.
+//! Health endpoints and load endpoints can be stale or misleading, so selection
+//! relies on what this node has observed itself: calls in flight, the slot
+//! usage that gates report with their answers, latency, and failures.
 //!
 //! See [docs/DESIGN.md](../../docs/DESIGN.md#5-the-request-path).
 
