--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -94,7 +94,7 @@
             holder: ClaimHolder {
                 run: CallId(key),
                 hop: NodeAddress::from(([127, 0, 0, 1], 7082)),
-                life: BootId(1),
+                boot_id: BootId(1),
             },
         };
         let batch = ClaimBatch {
--- a/src/gate/announce.rs
+++ b/src/gate/announce.rs
@@ -1,14 +1,19 @@
-//! Which of a target's announcements count.
+//! Rejects outdated announcements of targets.
 //!
-//! Announcements may be late by seconds, and a target that starts again may
-//! keep its name and begin to count anew. So a statement is taken only when it
-//! is later than what the same life said before, a life only when it began
-//! later than the one held, and an address belongs to the life that began last
-//! there: the dead send late announcements too. A life that left stays gone.
+//! Announcements can arrive seconds late, and a restarted target may keep its
+//! instance name and number its announcements from the start again. The
+//! tracker therefore orders them by incarnation first and by sequence second:
+//! within one incarnation an announcement is rejected if a later one was
+//! accepted, and an incarnation is rejected if a later one of the same
+//! instance is known. An address belongs to the latest incarnation announced
+//! there, since late announcements of a terminated target can arrive after
+//! another target has taken over its address. An incarnation that has left is
+//! never accepted again.
 //!
-//! A node has no disk, and a late announcement may meet it after a restart. So
-//! the ends of lives go along in the node's member record, and its peers hand
-//! them back to it when it joins again.
+//! A node stores nothing on disk, so a late announcement may arrive after the
+//! node was restarted and has lost this state. Departures are therefore
+//! published in the node's member record, and its peers return them when the
+//! node joins again.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,26 +21,27 @@
 use crate::ids::{Incarnation, InstanceId, Sequence};
 use crate::member::record::{MAX_DEPARTURES, TargetDeparture};
 
-/// Most lives remembered; a VM has one target and replaces it now and then.
+/// Maximum number of instances to track. A VM runs one target at a time and
+/// replaces it occasionally.
 pub const MAX_TRACKED_INSTANCES: usize = 256;
 
-/// What orders an announcement among others.
+/// The parts of an announcement that decide whether it is accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnnouncementSummary {
-    /// Name of the target.
+    /// Instance name of the target.
     pub instance: InstanceId,
-    /// Its life.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// Number of the announcement in that life.
+    /// Number of the announcement within the incarnation.
     pub sequence: Sequence,
-    /// Where it serves.
+    /// Address at which the target serves calls.
     pub address: SocketAddr,
-    /// Whether it says that it leaves.
+    /// Whether the target announces that it is draining.
     pub is_draining: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct LifeMark {
+struct InstanceState {
     incarnation: Incarnation,
     sequence: Sequence,
     address: Option<SocketAddr>,
@@ -43,70 +49,72 @@
     has_left: bool,
 }
 
-impl LifeMark {
-    /// Tells whether the other mark was made later.
-    fn is_before(&self, other: &Self) -> bool {
+impl InstanceState {
+    /// Returns `true` if `other` supersedes this state.
+    fn is_older_than(&self, other: &Self) -> bool {
         (self.incarnation, self.has_left, self.sequence)
             < (other.incarnation, other.has_left, other.sequence)
     }
 }
 
-/// What the targets on one VM said of themselves.
+/// Tracks the latest accepted announcement of each target on one VM.
 #[derive(Debug, Default)]
 pub struct AnnouncementTracker {
-    lives: HashMap<InstanceId, LifeMark>,
+    instances: HashMap<InstanceId, InstanceState>,
     addresses: HashMap<SocketAddr, Incarnation>,
 }
 
 impl AnnouncementTracker {
-    /// Returns an empty book.
+    /// Returns a tracker that has seen no announcements.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a statement; returns whether it counts.
-    pub fn accept(&mut self, statement: AnnouncementSummary) -> bool {
-        let at_address = self.addresses.get(&statement.address);
-        if at_address.is_some_and(|latest| *latest > statement.incarnation) {
+    /// Records an announcement unless it is outdated. Returns `true` if it was
+    /// accepted.
+    pub fn accept(&mut self, announcement: AnnouncementSummary) -> bool {
+        let at_address = self.addresses.get(&announcement.address);
+        if at_address.is_some_and(|latest| *latest > announcement.incarnation) {
             return false;
         }
-        if let Some(mark) = self.lives.get(&statement.instance) {
-            let is_older_life = statement.incarnation < mark.incarnation;
-            let is_same_life = statement.incarnation == mark.incarnation;
-            let is_late = is_same_life && (mark.has_left || statement.sequence < mark.sequence);
-            if is_older_life || is_late {
+        if let Some(state) = self.instances.get(&announcement.instance) {
+            let is_older_incarnation = announcement.incarnation < state.incarnation;
+            let is_same_incarnation = announcement.incarnation == state.incarnation;
+            let is_late =
+                is_same_incarnation && (state.has_left || announcement.sequence < state.sequence);
+            if is_older_incarnation || is_late {
                 return false;
             }
         }
-        self.make_room(&statement.instance);
+        self.evict_oldest(&announcement.instance);
         self.addresses
-            .insert(statement.address, statement.incarnation);
-        self.lives.insert(
-            statement.instance,
-            LifeMark {
-                incarnation: statement.incarnation,
-                sequence: statement.sequence,
-                address: Some(statement.address),
-                is_draining: statement.is_draining,
+            .insert(announcement.address, announcement.incarnation);
+        self.instances.insert(
+            announcement.instance,
+            InstanceState {
+                incarnation: announcement.incarnation,
+                sequence: announcement.sequence,
+                address: Some(announcement.address),
+                is_draining: announcement.is_draining,
                 has_left: false,
             },
         );
         true
     }
 
-    /// Returns the lives that are ending or have ended, the latest first and at
-    /// most [`MAX_DEPARTURES`].
+    /// Returns the targets that are draining or have left, latest incarnation
+    /// first, limited to [`MAX_DEPARTURES`].
     pub fn departures(&self) -> Vec<TargetDeparture> {
         let mut departures: Vec<_> = self
-            .lives
+            .instances
             .iter()
-            .filter(|(_, mark)| mark.is_draining || mark.has_left)
-            .map(|(instance, mark)| TargetDeparture {
+            .filter(|(_, state)| state.is_draining || state.has_left)
+            .map(|(instance, state)| TargetDeparture {
                 instance: instance.clone(),
-                incarnation: mark.incarnation,
-                sequence: mark.sequence,
-                address: mark.address,
-                has_left: mark.has_left,
+                incarnation: state.incarnation,
+                sequence: state.sequence,
+                address: state.address,
+                has_left: state.has_left,
             })
             .collect();
         departures.sort_by(|a, b| (b.incarnation, &b.instance).cmp(&(a.incarnation, &a.instance)));
@@ -114,84 +122,89 @@
         departures
     }
 
-    /// Takes back what an earlier life of this node knew of the ends of lives.
-    /// Returns whether any of it was new.
+    /// Restores departures that were recorded before this node was restarted.
+    /// Returns `true` if any of them was new.
     pub fn restore(&mut self, departures: &[TargetDeparture]) -> bool {
         let mut is_new = false;
         for departure in departures {
-            let mark = LifeMark {
+            let state = InstanceState {
                 incarnation: departure.incarnation,
                 sequence: departure.sequence,
                 address: departure.address,
                 is_draining: true,
                 has_left: departure.has_left,
             };
-            let held = self.lives.get(&departure.instance);
-            if held.is_some_and(|held| !held.is_before(&mark)) {
+            let held = self.instances.get(&departure.instance);
+            if held.is_some_and(|held| !held.is_older_than(&state)) {
                 continue;
             }
             is_new = true;
-            self.make_room(&departure.instance);
+            self.evict_oldest(&departure.instance);
             if let Some(address) = departure.address {
                 let latest = self.addresses.entry(address).or_default();
                 *latest = (*latest).max(departure.incarnation);
             }
-            self.lives.insert(departure.instance.clone(), mark);
+            self.instances.insert(departure.instance.clone(), state);
         }
         is_new
     }
 
-    /// Tells whether a life is known to be ending or to have ended.
+    /// Returns `true` if the incarnation is draining, has left, or was replaced
+    /// by a later incarnation of the same instance.
     pub fn is_departing(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
-        self.lives.get(instance).is_some_and(|mark| {
-            mark.incarnation > incarnation
-                || (mark.incarnation == incarnation && (mark.is_draining || mark.has_left))
+        self.instances.get(instance).is_some_and(|state| {
+            state.incarnation > incarnation
+                || (state.incarnation == incarnation && (state.is_draining || state.has_left))
         })
     }
 
-    /// Notes that a life has ended: the last one that is known, unless the
-    /// target names an earlier one. Returns whether that life is known.
+    /// Marks the latest known incarnation of an instance as left, unless
+    /// `incarnation` names an earlier one. Returns `true` if the instance was
+    /// known and has been marked.
     ///
-    /// A node that has just started may hear of the end of a life before it hears
-    /// of the life: its announcements come late. That life began before now, so
-    /// `now`, the wall time in the unit of incarnations, stands for it.
+    /// On a node that has just started, the departure of a target can arrive
+    /// before the target's late announcements. The departure of an unknown
+    /// instance is recorded for `incarnation` or, if that is not given, for
+    /// `now`, the wall time in the unit of incarnations: the target started
+    /// before now, so its late announcements are rejected.
     pub fn record_departure(
         &mut self,
         instance: &InstanceId,
         incarnation: Option<Incarnation>,
         now: Incarnation,
     ) -> bool {
-        let Some(mark) = self.lives.get_mut(instance) else {
-            self.make_room(instance);
-            let mark = LifeMark {
+        let Some(state) = self.instances.get_mut(instance) else {
+            self.evict_oldest(instance);
+            let state = InstanceState {
                 incarnation: incarnation.unwrap_or(now),
                 sequence: Sequence(u64::MAX),
                 address: None,
                 is_draining: true,
                 has_left: true,
             };
-            self.lives.insert(instance.clone(), mark);
+            self.instances.insert(instance.clone(), state);
             return false;
         };
-        if incarnation.is_some_and(|named| named < mark.incarnation) {
+        if incarnation.is_some_and(|incarnation| incarnation < state.incarnation) {
             return false;
         }
-        mark.has_left = true;
+        state.has_left = true;
         true
     }
 
-    /// Forgets the life that began first when there are too many.
-    fn make_room(&mut self, newcomer: &InstanceId) {
-        if self.lives.len() < MAX_TRACKED_INSTANCES || self.lives.contains_key(newcomer) {
+    /// Removes the instance with the earliest incarnation if `newcomer` would
+    /// exceed the limit. Clears the addresses if they have reached it too.
+    fn evict_oldest(&mut self, newcomer: &InstanceId) {
+        if self.instances.len() < MAX_TRACKED_INSTANCES || self.instances.contains_key(newcomer) {
             return;
         }
         let oldest = self
-            .lives
+            .instances
             .iter()
-            .min_by_key(|(_, mark)| mark.incarnation)
+            .min_by_key(|(_, state)| state.incarnation)
             .map(|(instance, _)| instance.clone());
         if let Some(oldest) = oldest {
-            self.lives.remove(&oldest);
+            self.instances.remove(&oldest);
         }
         if self.addresses.len() >= MAX_TRACKED_INSTANCES {
             self.addresses.clear();
--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -1,12 +1,15 @@
-//! Claims of idempotency keys, decided by the order of a log stream.
+//! Claims on idempotency keys, decided by the order of records in a log stream.
 //!
-//! A gate runs a call with a key only after its claim was read back from the
-//! log as the first live one. Log order cannot be held by mistake, so a gate
-//! that was paused or cut off has nothing that could lapse. A lease would
-//! lapse; a quorum of nodes would be a replicated store of our own.
+//! A gate runs a call with an idempotency key only after it has read its claim
+//! back from the log and no earlier unexpired claim on the key precedes it.
+//! Unlike a lease, which can expire while its holder is paused or partitioned
+//! and still believes that it holds it, a position in the log stays valid. A
+//! quorum of nodes would also work, but would amount to a replicated store of
+//! our own.
 //!
-//! A claim lives for the key lifetime, counted between the wall times in the
-//! records themselves, so every reader of the stream comes to the same end.
+//! A claim expires after the key lifetime. Expiry is computed only from the
+//! wall times in the records, so every reader of the stream reaches the same
+//! result.
 //!
 //! See [docs/DESIGN.md](../../docs/DESIGN.md#6-at-most-once).
 
@@ -19,80 +22,81 @@
 use crate::error::CodecError;
 use crate::ids::{BootId, CallId, KeyHash, Offset};
 
-/// First byte of a claim record.
+/// Format version, the first byte of a claim record.
 pub const CLAIM_FORMAT_VERSION: u8 = 1;
 
-/// Streams over which keys are spread.
+/// Number of log streams among which keys are distributed.
 pub const CLAIM_STREAM_COUNT: u32 = 4;
 
-/// Most items in one record.
+/// Maximum number of items in one record.
 pub const MAX_BATCH_ITEMS: usize = 2048;
 
-/// Most keys that one stream's reader holds.
+/// Maximum number of keys that the reader of one stream holds.
 pub const MAX_KEYS_PER_STREAM: usize = 400_000;
 
 record! {
-    /// The run that holds a key.
+    /// The execution that holds a key.
     pub struct ClaimHolder {
-        /// The run, which is the call at the gate that runs it.
+        /// The execution, identified by the call at the gate that runs it.
         pub run: CallId,
-        /// Where the gate takes calls from other nodes.
+        /// Address at which the gate accepts calls from other nodes.
         pub hop: SocketAddr,
-        /// Life of the gate.
-        pub life: BootId,
+        /// Identifies the run of the gate's process.
+        pub boot_id: BootId,
     }
 
-    /// One claim or release.
+    /// A claim on a key or its release.
     pub enum ClaimItem {
-        /// Claims a key for a run.
+        /// Claims a key for an execution.
         Claim {
             /// The key.
             key: KeyHash,
-            /// The run.
+            /// The execution that claims the key.
             holder: ClaimHolder,
         },
-        /// Frees a key whose run won and then was not started.
+        /// Releases a key whose execution won the claim and then was not started.
         Release {
             /// The key.
             key: KeyHash,
-            /// The run that held it.
+            /// The execution that held it.
             run: CallId,
         },
     }
 
-    /// What a gate asks of a keeper.
+    /// A request from a gate to the keeper, the node that writes a claim stream.
     pub struct ClaimRequest {
-        /// Number of the stream.
+        /// Index of the stream.
         pub stream: u32,
-        /// The items.
+        /// The claims and releases.
         pub items: Vec<ClaimItem>,
     }
 
-    /// What became of an item.
+    /// The result of a claim or release.
     pub enum ClaimOutcome {
-        /// The run holds the key, or the release took effect.
+        /// The execution holds the key, or the release was processed.
         Won,
-        /// Another run holds the key.
+        /// Another execution holds the key.
         Lost(ClaimHolder),
-        /// The log could not be read or written in time.
+        /// The log could not be read or written before the deadline.
         Unavailable,
     }
 
     /// One record of a claim stream.
     pub struct ClaimBatch {
-        /// Chosen at random, to find the record after a lost answer.
+        /// Random identifier that finds the record in the log if the answer to its
+        /// append was lost.
         pub id: CallId,
         /// Wall time of the writer, in milliseconds since the Unix epoch.
         pub wall_ms: u64,
-        /// How long the claims live, in milliseconds.
+        /// Time after which the claims expire, in milliseconds.
         pub lifetime_ms: u64,
-        /// The items in order.
+        /// The claims and releases, in order.
         pub items: Vec<ClaimItem>,
     }
 }
 
 impl ClaimBatch {
-    /// Encodes the batch as a record of the log.
+    /// Encodes the batch as a log record.
     pub fn encode(&self) -> Result<Bytes, CodecError> {
         let mut record = vec![CLAIM_FORMAT_VERSION];
         record.extend(postcard::to_stdvec(self).map_err(|_| CodecError::Malformed)?);
@@ -121,7 +125,7 @@
     expires_ms: u64,
 }
 
-/// The keys of one stream, folded up to an offset.
+/// The keys claimed in one stream, up to an offset.
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     next: Offset,
@@ -130,8 +134,8 @@
 }
 
 impl ClaimTable {
-    /// Returns a fold that starts at `next`, which must be at or before the
-    /// first record that can still be live.
+    /// Returns an empty table whose next record is at `next`, which must be at
+    /// or before the first record that may hold an unexpired claim.
     pub fn starting_at(next: Offset) -> Self {
         Self {
             next,
@@ -139,22 +143,25 @@
         }
     }
 
-    /// Returns the offset of the next record to fold.
+    /// Returns the offset of the next record to apply.
     pub fn next_offset(&self) -> Offset {
         self.next
     }
 
-    /// Returns the number of keys held.
+    /// Returns the number of claimed keys in the table, including expired ones
+    /// that have not been removed yet.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether no key is held.
+    /// Returns `true` if the table holds no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Folds the next record. An undecodable one counts and changes nothing.
+    /// Applies the next record and returns the outcome of each of its items.
+    ///
+    /// A record that cannot be decoded only advances the offset.
     pub fn apply(&mut self, record: &[u8]) -> Vec<ClaimOutcome> {
         self.next.0 += 1;
         let Ok(batch) = ClaimBatch::try_from(record) else {
@@ -162,26 +169,29 @@
         };
         self.newest_ms = self.newest_ms.max(batch.wall_ms);
         let expires_ms = batch.wall_ms.saturating_add(batch.lifetime_ms);
-        let mut verdicts = Vec::with_capacity(batch.items.len());
+        let mut outcomes = Vec::with_capacity(batch.items.len());
         for item in batch.items {
-            verdicts.push(self.apply_item(item, batch.wall_ms, expires_ms));
+            outcomes.push(self.apply_item(item, batch.wall_ms, expires_ms));
         }
-        verdicts
+        outcomes
     }
 
-    /// Returns the run that holds a key.
+    /// Returns the execution that holds a key.
     pub fn holder(&self, key: KeyHash) -> Option<&ClaimHolder> {
         self.keys.get(&key).map(|held| &held.holder)
     }
 
-    /// Drops keys that no later record can meet alive: by the newest record,
-    /// or by the reader's wall time `now_ms` when nobody writes. Writers' clocks
-    /// may differ, so keys stay for `slack` beyond their time.
-    pub fn remove_expired(&mut self, now_ms: u64, slack: Duration) {
-        let slack_ms = u64::try_from(slack.as_millis()).unwrap_or(u64::MAX);
+    /// Removes the keys that have expired for every possible later record.
+    ///
+    /// Time is measured by the newest record, or by the reader's wall time
+    /// `now_ms` if that is later, since there may be no new records. Keys are
+    /// kept for `clock_skew` beyond their expiry because the clocks of writers
+    /// may differ.
+    pub fn remove_expired(&mut self, now_ms: u64, clock_skew: Duration) {
+        let clock_skew_ms = u64::try_from(clock_skew.as_millis()).unwrap_or(u64::MAX);
         let newest_ms = self.newest_ms.max(now_ms);
         self.keys
-            .retain(|_, held| held.expires_ms.saturating_add(slack_ms) > newest_ms);
+            .retain(|_, held| held.expires_ms.saturating_add(clock_skew_ms) > newest_ms);
     }
 
     fn apply_item(&mut self, item: ClaimItem, wall_ms: u64, expires_ms: u64) -> ClaimOutcome {
@@ -208,12 +218,12 @@
     }
 }
 
-/// Returns the number of the stream that a key belongs to.
+/// Returns the index of the stream that a key belongs to.
 pub fn stream_for_key(key: KeyHash) -> u32 {
     (key.0 % u128::from(CLAIM_STREAM_COUNT)) as u32
 }
 
-/// Returns the name of a claim stream.
+/// Returns the log stream name for a stream index.
 pub fn stream_name(stream: u32) -> String {
     format!("claims-{stream}")
 }
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -199,7 +199,7 @@
     ClaimHolder {
         run: CallId(run),
         hop: address(1),
-        life: BootId(1),
+        boot_id: BootId(1),
     }
 }
 
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -286,7 +286,7 @@
     let holder = ClaimHolder {
         run: call.call,
         hop: node.settings.hop,
-        life: node.life,
+        boot_id: node.life,
     };
     node.claims.claim(key, holder, call.deadline.at()).await
 }
@@ -295,12 +295,12 @@
 async fn ask_holder(node: &NodeHandle, call: &GateCall, holder: ClaimHolder) -> Response<NodeBody> {
     let asked = async {
         if holder.hop == node.settings.hop {
-            if holder.life != node.life {
+            if holder.boot_id != node.life {
                 return InquiryAnswer::Unknown;
             }
             return port::inquire(node, ASK_INQUIRE, holder.run).await;
         }
-        hop::ask(node, holder.hop, ASK_INQUIRE, holder.run, holder.life)
+        hop::ask(node, holder.hop, ASK_INQUIRE, holder.run, holder.boot_id)
             .await
             .unwrap_or(InquiryAnswer::Unknown)
     };
