--- a/src/gate/announce.rs
+++ b/src/gate/announce.rs
@@ -21,8 +21,8 @@
 use crate::ids::{Incarnation, InstanceId, Sequence};
 use crate::member::record::{MAX_DEPARTURES, TargetDeparture};
 
-/// Maximum number of instances to track. A VM runs one target at a time and
-/// replaces it occasionally.
+/// Maximum number of instances to track. A VM has one target and replaces it
+/// occasionally.
 pub const MAX_TRACKED_INSTANCES: usize = 256;
 
 /// The parts of an announcement that decide whether it is accepted.
--- a/src/gate/ledger.rs
+++ b/src/gate/ledger.rs
@@ -1,9 +1,10 @@
-//! What a gate remembers of the calls it was given.
+//! Records the state and the result of the calls that a gate has received.
 //!
-//! A node that loses its exchange with a gate can ask what became of the call.
-//! If the call has not started, asking revokes it: the gate will never start
-//! it, and the asker may truthfully say `not-run`. If it runs or ran, the
-//! asker gets the answer. So a cut link between two nodes loses no call.
+//! A node whose connection to a gate breaks during a call can query the gate
+//! for the call's result. If the call has not started, the query revokes it:
+//! the gate will never start it, so the node can safely report `not-run`. If
+//! the call is running or has finished, the node receives its result. A broken
+//! connection between two nodes therefore loses no call.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -17,42 +18,42 @@
 use crate::ids::CallId;
 use crate::invariant::{Invariant, check};
 
-/// How long an answer is kept for a node that lost its exchange.
+/// Time for which an answer is stored for a node whose connection broke.
 pub const ANSWER_RETENTION: Duration = Duration::from_secs(30);
 
-/// How long a revoked call stays revoked. Its request can still sit in a
-/// socket buffer, but not for as long as this.
+/// Time for which a revoked call stays revoked. Its request may still be in a
+/// socket buffer, but not for this long.
 pub const REVOCATION_RETENTION: Duration = Duration::from_secs(600);
 
-/// Most calls remembered.
+/// Maximum number of calls in the ledger.
 pub const MAX_LEDGER_CALLS: usize = 65_536;
 
-/// Largest answer body kept, in bytes.
+/// Maximum size of a stored answer body, in bytes.
 pub const MAX_STORED_BODY_BYTES: usize = 256 * 1024;
 
-/// Most bytes of answers kept.
+/// Maximum total size of stored answer bodies, in bytes.
 pub const MAX_STORED_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 record! {
-    /// How a call ended.
+    /// The result of a call.
     pub enum CallResult {
         /// The target answered.
         Answered(StoredAnswer),
         /// The call was refused before it started.
         Refused(RefusalReason),
-        /// The exchange with the target was lost after it started.
+        /// The connection to the target broke after the call had started.
         Lost,
-        /// The target answered, but the answer is too large to keep.
+        /// The target answered, but the answer is too large to store.
         TooLarge,
     }
 
-    /// A whole answer.
+    /// A complete answer.
     pub struct StoredAnswer {
-        /// HTTP status.
+        /// HTTP status code.
         pub status: u16,
-        /// Names and values of the headers.
+        /// Header names and values.
         pub headers: Vec<(Bytes, Bytes)>,
-        /// Body.
+        /// Answer body.
         pub body: Bytes,
     }
 }
@@ -62,19 +63,19 @@
     Waiting(watch::Receiver<Option<Arc<CallResult>>>),
     Revoked,
     Running(watch::Receiver<Option<Arc<CallResult>>>),
-    Ended(Arc<CallResult>),
+    Finished(Arc<CallResult>),
 }
 
-/// What a gate knows of a call that it is asked about.
+/// The status of a call, as returned to a node that queries it.
 #[derive(Debug)]
 pub enum CallStatus {
-    /// The call never started and never will.
+    /// The call has not started and never will.
     NotRun(RefusalReason),
-    /// The call waits or runs; the receiver gets its end.
+    /// The call is waiting or running; the receiver yields its result.
     Running(watch::Receiver<Option<Arc<CallResult>>>),
-    /// The call ended.
+    /// The call has finished.
     Ended(Arc<CallResult>),
-    /// The gate cannot say.
+    /// The gate does not know whether the call ran.
     Unknown,
 }
 
@@ -82,24 +83,25 @@
 struct LedgerState {
     calls: HashMap<CallId, CallState>,
     expiry: VecDeque<(Instant, CallId)>,
-    kept: usize,
+    stored_bytes: usize,
 }
 
-/// The calls of one gate; a cheap handle.
+/// The ledger of one gate's calls. Clones are cheap and share the ledger.
 #[derive(Debug, Clone)]
 pub struct CallLedger {
     state: Arc<Mutex<LedgerState>>,
     clock: SharedClock,
 }
 
-/// A call that was entered; entering ends when it is dropped unstarted.
+/// Guard for a registered call. A call that is dropped before it was started
+/// is recorded as revoked, one that is dropped later as lost.
 #[derive(Debug)]
 pub struct CallTicket {
     ledger: CallLedger,
     call: CallId,
     sender: watch::Sender<Option<Arc<CallResult>>>,
     is_started: bool,
-    is_ended: bool,
+    is_finished: bool,
 }
 
 impl CallLedger {
@@ -111,12 +113,12 @@
         }
     }
 
-    /// Enters a call.
+    /// Registers a call.
     ///
     /// # Errors
     ///
-    /// [`RefusalReason::Revoked`] when the call was revoked or entered before,
-    /// [`RefusalReason::Saturated`] when the ledger is full.
+    /// Returns [`RefusalReason::Revoked`] if the call was revoked or registered
+    /// before and [`RefusalReason::Saturated`] if the ledger is full.
     pub fn register(&self, call: CallId) -> Result<CallTicket, RefusalReason> {
         let mut state = lock(&self.state);
         state.expire(self.clock.now());
@@ -133,11 +135,11 @@
             call,
             sender,
             is_started: false,
-            is_ended: false,
+            is_finished: false,
         })
     }
 
-    /// Asks about a call and revokes it if it has not started.
+    /// Returns the status of a call and revokes the call if it has not started.
     pub fn revoke(&self, call: CallId) -> CallStatus {
         let now = self.clock.now();
         let mut state = lock(&self.state);
@@ -145,7 +147,7 @@
         let is_full = state.calls.len() >= MAX_LEDGER_CALLS;
         match state.calls.get(&call) {
             Some(CallState::Running(receiver)) => return CallStatus::Running(receiver.clone()),
-            Some(CallState::Ended(end)) => return status_of(end),
+            Some(CallState::Finished(result)) => return status_of(result),
             Some(CallState::Revoked) => return CallStatus::NotRun(RefusalReason::Revoked),
             Some(CallState::Waiting(_)) => {}
             None if is_full => return CallStatus::Unknown,
@@ -156,61 +158,65 @@
         CallStatus::NotRun(RefusalReason::Revoked)
     }
 
-    /// Asks about a call without revoking it. A call that the ledger does not
-    /// know may have run and been forgotten.
+    /// Returns the status of a call without revoking it. The status of a call
+    /// that is not in the ledger is unknown, since it may have run and expired.
     pub fn status(&self, call: CallId) -> CallStatus {
         match lock(&self.state).calls.get(&call) {
             Some(CallState::Waiting(receiver) | CallState::Running(receiver)) => {
                 CallStatus::Running(receiver.clone())
             }
-            Some(CallState::Ended(end)) => status_of(end),
+            Some(CallState::Finished(result)) => status_of(result),
             Some(CallState::Revoked) => CallStatus::NotRun(RefusalReason::Revoked),
             None => CallStatus::Unknown,
         }
     }
 }
 
-fn status_of(end: &Arc<CallResult>) -> CallStatus {
-    match end.as_ref() {
+fn status_of(result: &Arc<CallResult>) -> CallStatus {
+    match result.as_ref() {
         CallResult::Refused(reason) => CallStatus::NotRun(*reason),
         CallResult::Answered(_) | CallResult::Lost | CallResult::TooLarge => {
-            CallStatus::Ended(Arc::clone(end))
+            CallStatus::Ended(Arc::clone(result))
         }
     }
 }
 
 impl LedgerState {
+    /// Removes the calls that have expired and, while the ledger is at least
+    /// half full, also results that have not expired yet. Revocations always
+    /// stay until they expire.
     fn expire(&mut self, now: Instant) {
-        while let Some((when, call)) = self.expiry.front().copied() {
-            // Revoked calls wait longer than answers, so the queue is not in
-            // strict order; what is found late only stays a little longer.
-            if when > now && self.calls.len() < MAX_LEDGER_CALLS / 2 {
+        while let Some((expires, call)) = self.expiry.front().copied() {
+            // Revocations are retained for longer than answers, so the queue is
+            // not strictly ordered by expiry. An entry behind one that expires
+            // later is only retained a little longer.
+            if expires > now && self.calls.len() < MAX_LEDGER_CALLS / 2 {
                 return;
             }
-            if when > now && matches!(self.calls.get(&call), Some(CallState::Revoked)) {
+            if expires > now && matches!(self.calls.get(&call), Some(CallState::Revoked)) {
                 return;
             }
             self.expiry.pop_front();
-            if let Some(CallState::Ended(end)) = self.calls.remove(&call) {
-                self.kept -= kept_bytes(&end);
+            if let Some(CallState::Finished(result)) = self.calls.remove(&call) {
+                self.stored_bytes -= stored_bytes(&result);
             }
         }
     }
 }
 
-fn kept_bytes(end: &CallResult) -> usize {
-    match end {
+fn stored_bytes(result: &CallResult) -> usize {
+    match result {
         CallResult::Answered(answer) => answer.body.len(),
         CallResult::Refused(_) | CallResult::Lost | CallResult::TooLarge => 0,
     }
 }
 
 impl CallTicket {
-    /// Starts the call: from here on it counts as run.
+    /// Marks the call as started. From here on it may have run.
     ///
     /// # Errors
     ///
-    /// [`RefusalReason::Revoked`] when the call was revoked while it waited.
+    /// Returns [`RefusalReason::Revoked`] if the call was revoked while it waited.
     pub fn start(&mut self) -> Result<(), RefusalReason> {
         let mut state = lock(&self.ledger.state);
         check(Invariant::SentOnce, !self.is_started);
@@ -223,52 +229,57 @@
         Ok(())
     }
 
-    /// Ends the call and keeps its end for those who ask.
-    pub fn finish(mut self, end: CallResult) {
-        self.finish_with(end);
+    /// Finishes the call and stores its result for nodes that query it.
+    pub fn finish(mut self, result: CallResult) {
+        self.finish_with(result);
     }
 
-    /// Ends a started call of which its target said that it did not run it.
+    /// Finishes a started call that its target reported as not run.
     pub fn finish_not_run(mut self, reason: RefusalReason) {
         self.is_started = false;
         self.finish_with(CallResult::Refused(reason));
     }
 
-    fn finish_with(&mut self, end: CallResult) {
-        self.is_ended = true;
-        let is_refusal = matches!(end, CallResult::Refused(_));
+    fn finish_with(&mut self, result: CallResult) {
+        self.is_finished = true;
+        let is_refusal = matches!(result, CallResult::Refused(_));
         check(Invariant::NotRunStays, !(is_refusal && self.is_started));
         let now = self.ledger.clock.now();
         let mut state = lock(&self.ledger.state);
         if matches!(state.calls.get(&self.call), Some(CallState::Revoked)) {
             drop(state);
-            let end = CallResult::Refused(RefusalReason::Revoked);
-            self.sender.send_replace(Some(Arc::new(end)));
+            let result = CallResult::Refused(RefusalReason::Revoked);
+            self.sender.send_replace(Some(Arc::new(result)));
             return;
         }
-        let is_over = state.kept + kept_bytes(&end) > MAX_STORED_ANSWER_BYTES;
-        let end = Arc::new(if is_over { CallResult::TooLarge } else { end });
-        state.kept += kept_bytes(&end);
+        let exceeds_limit = state.stored_bytes + stored_bytes(&result) > MAX_STORED_ANSWER_BYTES;
+        let result = Arc::new(if exceeds_limit {
+            CallResult::TooLarge
+        } else {
+            result
+        });
+        state.stored_bytes += stored_bytes(&result);
         state
             .calls
-            .insert(self.call, CallState::Ended(Arc::clone(&end)));
+            .insert(self.call, CallState::Finished(Arc::clone(&result)));
         state.expiry.push_back((now + ANSWER_RETENTION, self.call));
         drop(state);
-        self.sender.send_replace(Some(end));
+        self.sender.send_replace(Some(result));
     }
 }
 
 impl Drop for CallTicket {
     fn drop(&mut self) {
-        if self.is_ended {
+        if self.is_finished {
             return;
         }
-        // A task that was cancelled: started calls may have run.
-        let end = if self.is_started {
+        // The task that handled the call was cancelled. A started call may
+        // have run.
+        let result = if self.is_started {
             CallResult::Lost
         } else {
             CallResult::Refused(RefusalReason::Revoked)
         };
-        self.finish_with(end);
+        self.finish_with(result);
     }
 }
--- a/src/gate/mod.rs
+++ b/src/gate/mod.rs
@@ -1,9 +1,9 @@
-//! The gate: the only way into the target beside a node.
+//! Admission of calls to the target on a node's own VM.
 //!
-//! It owns the target's slots and the record of what was sent to it, so it is
-//! the one place that can truthfully say that a call was not run. What must
-//! hold about running a call is therefore decided here and not where the call
-//! entered the mesh.
+//! All calls to a target pass through the gate of its node. The gate owns the
+//! target's slots and the record of the calls that were sent to it, so no other
+//! component can guarantee that a call was not run. Guarantees about running a
+//! call are therefore enforced here and not where the call entered the mesh.
 //!
 //! See [docs/DESIGN.md](../../docs/DESIGN.md#5-the-request-path).
 
--- a/src/gate/outcome.rs
+++ b/src/gate/outcome.rs
@@ -1,15 +1,16 @@
-//! What a caller is told about its call.
+//! Call outcomes and refusal reasons that are reported to callers.
 //!
-//! The set is closed. `not-run` needs proof: a gate refused before the first
-//! byte went to the target, or no gate was sent a byte. Everything else
-//! without a whole answer is `unknown`.
+//! Every call has one of three outcomes. `not-run` is reported only if the call
+//! provably did not run: a gate refused it before sending the first byte to the
+//! target, or no byte of it was sent to any gate. Any other call without a
+//! complete answer is `unknown`.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallOutcome {
@@ -21,22 +22,24 @@
     Unknown,
 }
 
-/// Why there is no answer from a target.
+/// The reason why a call has no answer from a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 #[non_exhaustive]
 pub enum RefusalReason {
-    /// The target's slots and its queue are full.
+    /// All slots of the target are in use, and its queue has no place in which
+    /// the call could be served in time.
     Saturated,
-    /// The wait for a slot is longer than the call wants to wait here.
+    /// The expected wait for a slot is longer than the call's limit for waiting
+    /// at this gate instead of trying another target.
     Crowded,
-    /// The call could not end before its deadline.
+    /// The call could not finish before its deadline.
     Deadline,
-    /// The target or its node leaves.
+    /// The target or its node is draining.
     Draining,
     /// The node has no target for the service.
     NoTarget,
-    /// The request crashed targets before.
+    /// The request was running on several targets when they crashed.
     Quarantined,
     /// The call was revoked before it started.
     Revoked,
@@ -44,26 +47,27 @@
     Unreachable,
     /// The idempotency key could not be claimed in time.
     ClaimUnavailable,
-    /// Another run holds the idempotency key and its answer is not at hand.
+    /// Another execution holds the idempotency key and its answer is not
+    /// available.
     ClaimLost,
-    /// The route's bound of calls under way is reached.
+    /// The route's limit of concurrent calls is reached.
     RouteLimit,
-    /// The node does not have a current view yet.
+    /// The node does not have a current configuration view yet.
     NotReady,
     /// No route matches.
     NoRoute,
-    /// The exchange with the gate was lost.
+    /// The connection to the gate broke before the complete answer arrived.
     GateLost,
-    /// The exchange with the target was lost.
+    /// The connection to the target broke before the complete answer arrived.
     TargetLost,
-    /// The request is malformed or over a bound.
+    /// The request is malformed or exceeds a limit.
     BadRequest,
-    /// The target said that it did not run the call.
+    /// The target reported that it did not run the call.
     TargetBusy,
 }
 
 impl CallOutcome {
-    /// Returns the name that headers and logs use.
+    /// Returns the name used in headers and logs.
     pub fn name(self) -> &'static str {
         match self {
             CallOutcome::Done => "done",
@@ -113,7 +117,7 @@
 ];
 
 impl RefusalReason {
-    /// Returns the name that headers and logs use.
+    /// Returns the name used in headers and logs.
     pub fn name(self) -> &'static str {
         REASON_NAMES
             .iter()
@@ -122,8 +126,8 @@
             .unwrap_or_default()
     }
 
-    /// Tells whether a call that ended so may have reached a target, so that
-    /// sending it again is work for a second one.
+    /// Returns `true` if a call that ended for this reason may have reached a
+    /// target, so that a retry can add load to a second one.
     pub fn may_have_reached_target(self) -> bool {
         matches!(
             self,
@@ -134,7 +138,7 @@
         )
     }
 
-    /// Tells whether another target may do better.
+    /// Returns `true` if the call may succeed on another target.
     pub fn is_retryable_elsewhere(self) -> bool {
         matches!(
             self,
--- a/src/gate/quarantine.rs
+++ b/src/gate/quarantine.rs
@@ -1,67 +1,70 @@
-//! Requests that crash the targets which run them.
+//! Quarantine for requests that crash the targets that run them.
 //!
-//! Sending such a request on, or letting its caller send it again, takes one
-//! target after another down. A request that was running when its target's
-//! process was lost becomes suspect, and nobody retries it. After two distinct
-//! targets it is quarantined for a time. A request of the same fingerprint
-//! that ran to its end shortly before was likely only near the crash, and is
-//! left alone; one that runs to its end later is cleared. So a busy page that
-//! shares a target with a bad request keeps being served.
+//! Retrying such a request, or letting its caller send it again, crashes one
+//! target after another. A request that was running when its target's process
+//! was lost becomes suspect and is not retried. Once two distinct targets
+//! were lost while running it, it is quarantined for a limited time.
+//!
+//! Other requests that were running at the time of the crash become suspect as
+//! well. A request is therefore not suspected if one with the same fingerprint
+//! completed recently, and a suspect is cleared when one with its fingerprint
+//! completes. This keeps a busy page available that shares a target with a
+//! crashing request.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::ids::{Fingerprint, NodeAddress};
 
-/// Distinct targets lost before a request is quarantined.
+/// Number of distinct lost targets at which a request is quarantined.
 pub const MIN_LOSSES_FOR_QUARANTINE: usize = 2;
 
-/// How long a request stays quarantined.
+/// Time for which a request stays quarantined after its last loss.
 pub const QUARANTINE_DURATION: Duration = Duration::from_secs(300);
 
-/// How long a request stays suspect.
+/// Time for which a request stays suspect after its last loss.
 pub const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 
-/// Most suspects remembered.
+/// Maximum number of suspects to track.
 pub const MAX_SUSPECTS: usize = 4096;
 
-/// Most fingerprints remembered as having run to their end.
+/// Maximum number of fingerprints of completed requests to keep.
 pub const MAX_SUCCESSES: usize = 8192;
 
-/// The standing of a request.
+/// The quarantine status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing is known against it.
+    /// The request is not suspect.
     Clean,
-    /// One target was lost while running it.
+    /// One target was lost while it ran the request.
     Suspect,
-    /// It is refused until this time.
+    /// The request is refused until this time.
     Quarantined(Instant),
 }
 
-/// The last loss at one node. One that was cleared is kept, so that late news
-/// of it is known to be old: nodes that forgot it would tell each other of the
-/// loss and of its clearing in turns, without end.
+/// The latest target loss at one node. A cleared loss is kept so that a late
+/// rumor of it is recognised as old. If cleared losses were removed, nodes
+/// would keep sending each other the loss and its clearing in an endless loop.
 #[derive(Debug, Clone, Copy)]
-struct LossMark {
+struct TargetLoss {
     number: u64,
     is_cleared: bool,
 }
 
 #[derive(Debug)]
 struct SuspectEntry {
-    losses: HashMap<NodeAddress, LossMark>,
-    last: Instant,
+    losses: HashMap<NodeAddress, TargetLoss>,
+    last_loss: Instant,
 }
 
 impl SuspectEntry {
-    /// Returns the number of targets that were lost and not cleared.
-    fn count(&self) -> usize {
+    /// Returns the number of lost targets that have not been cleared.
+    fn uncleared_losses(&self) -> usize {
         self.losses.values().filter(|loss| !loss.is_cleared).count()
     }
 }
 
-/// Suspects and recent successes of one node.
+/// The suspect and the recently completed requests known to one node.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
     suspects: HashMap<Fingerprint, SuspectEntry>,
@@ -75,43 +78,46 @@
         Self::default()
     }
 
-    /// Notes that a target was lost while it ran a request. Returns whether
-    /// that was new, so that it is spread once.
+    /// Records that the target at `node` was lost while it ran a request.
+    ///
+    /// `loss_number` counts the losses at that node. Returns `true` if this loss was
+    /// not known before, so that each node forwards it only once.
     pub fn record_target_loss(
         &mut self,
         fingerprint: Fingerprint,
         node: NodeAddress,
-        loss: u64,
+        loss_number: u64,
         now: Instant,
     ) -> bool {
-        self.forget_old(now);
+        self.remove_expired(now);
         if self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&fingerprint) {
-            self.drop_oldest();
+            self.evict_one();
         }
         let entry = self
             .suspects
             .entry(fingerprint)
             .or_insert_with(|| SuspectEntry {
                 losses: HashMap::new(),
-                last: now,
+                last_loss: now,
             });
         let is_known = entry
             .losses
             .get(&node)
-            .is_some_and(|held| held.number >= loss);
+            .is_some_and(|known| known.number >= loss_number);
         if is_known {
             return false;
         }
-        let mark = LossMark {
-            number: loss,
+        let loss = TargetLoss {
+            number: loss_number,
             is_cleared: false,
         };
-        entry.losses.insert(node, mark);
-        entry.last = now;
+        entry.losses.insert(node, loss);
+        entry.last_loss = now;
         true
     }
 
-    /// Notes that a request ran to its end. Returns whether that clears it.
+    /// Records that a request completed. Returns `true` if this cleared a
+    /// suspect.
     pub fn record_success(&mut self, fingerprint: Fingerprint) -> bool {
         if self.successes.insert(fingerprint) {
             self.success_order.push_back(fingerprint);
@@ -124,14 +130,15 @@
         self.clear(fingerprint)
     }
 
-    /// Forgets what is held against a request, unless it is quarantined: only
-    /// time ends a quarantine.
+    /// Clears a suspect request. A quarantined request is not cleared; it is
+    /// released only when its quarantine ends. Returns `true` if a suspect was
+    /// cleared.
     pub fn clear(&mut self, fingerprint: Fingerprint) -> bool {
         let Some(entry) = self.suspects.get_mut(&fingerprint) else {
             return false;
         };
-        let count = entry.count();
-        if count == 0 || count >= MIN_LOSSES_FOR_QUARANTINE {
+        let losses = entry.uncleared_losses();
+        if losses == 0 || losses >= MIN_LOSSES_FOR_QUARANTINE {
             return false;
         }
         for loss in entry.losses.values_mut() {
@@ -140,46 +147,47 @@
         true
     }
 
-    /// Tells whether a request ran to its end recently.
+    /// Returns `true` if a request with this fingerprint completed recently.
     pub fn has_recent_success(&self, fingerprint: Fingerprint) -> bool {
         self.successes.contains(&fingerprint)
     }
 
-    /// Returns the standing of a request.
+    /// Returns the quarantine status of a request at `now`.
     pub fn status(&self, fingerprint: Fingerprint, now: Instant) -> QuarantineStatus {
         let Some(entry) = self.suspects.get(&fingerprint) else {
             return QuarantineStatus::Clean;
         };
-        let until = entry.last + QUARANTINE_DURATION;
-        let count = entry.count();
-        if count >= MIN_LOSSES_FOR_QUARANTINE && now < until {
+        let until = entry.last_loss + QUARANTINE_DURATION;
+        let losses = entry.uncleared_losses();
+        if losses >= MIN_LOSSES_FOR_QUARANTINE && now < until {
             return QuarantineStatus::Quarantined(until);
         }
-        let is_over = now >= entry.last + SUSPECT_RETENTION;
-        if count == 0 || count >= MIN_LOSSES_FOR_QUARANTINE || is_over {
+        let is_expired = now >= entry.last_loss + SUSPECT_RETENTION;
+        if losses == 0 || losses >= MIN_LOSSES_FOR_QUARANTINE || is_expired {
             return QuarantineStatus::Clean;
         }
         QuarantineStatus::Suspect
     }
 
-    fn forget_old(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         self.suspects.retain(|_, entry| {
-            let time = if entry.count() >= MIN_LOSSES_FOR_QUARANTINE {
+            let retention = if entry.uncleared_losses() >= MIN_LOSSES_FOR_QUARANTINE {
                 QUARANTINE_DURATION
             } else {
                 SUSPECT_RETENTION
             };
-            now < entry.last + time
+            now < entry.last_loss + retention
         });
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self
+    /// Removes the entry with the fewest losses and, among those, the oldest.
+    fn evict_one(&mut self) {
+        let evicted = self
             .suspects
             .iter()
-            .min_by_key(|(_, entry)| (entry.count(), entry.last))
+            .min_by_key(|(_, entry)| (entry.uncleared_losses(), entry.last_loss))
             .map(|(fingerprint, _)| *fingerprint);
-        if let Some(fingerprint) = oldest {
+        if let Some(fingerprint) = evicted {
             self.suspects.remove(&fingerprint);
         }
     }
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -1,18 +1,19 @@
-//! The slots of a target and the short queue in front of them.
+//! Concurrency limit of a target, with a short, deadline-aware queue.
 //!
-//! The load pattern: for some seconds more calls come than the target can run.
-//! Served in the order of arrival, all of them would be late, and slots would
-//! be spent on answers that nobody waits for any more. So a call that cannot
-//! end before its deadline is refused when it arrives, with the time after which
-//! there is room. Of those that wait, the ones that can still be in time go
-//! first, by class, priority and aim; the others get what is left, and only a
-//! few of them may wait, since most would be refused in the end.
+//! The queue is designed for overloads that last some seconds. If calls were
+//! served in order of arrival during an overload, all of them would be late,
+//! and slots would be spent on answers that no caller waits for any more. So a
+//! call that cannot finish before its deadline is refused on arrival, and its
+//! caller is told when to expect a slot. Waiting calls that can still meet their
+//! latency target are served first, ordered by class, priority and latency
+//! target. The remaining capacity goes to late calls, of which only a few may
+//! wait, since most of them would be refused in the end.
 //!
-//! A second pattern: many nodes send to many targets, and each knows of a
-//! target's load only what its own last call there told it. Some targets then
-//! have a queue while others have free slots. So a call says how long a wait
-//! here is better than going elsewhere, and is sent on at once when the wait is
-//! longer; see [docs/decisions/0012](../../docs/decisions/0012-sent-on.md).
+//! A node knows a target's load only from its own last call there. When many
+//! nodes send to many targets, some targets therefore have a queue while others
+//! have free slots. So each call carries the longest wait that is still better
+//! than trying another target, and is refused immediately if its expected wait
+//! is longer; see [docs/decisions/0012](../../docs/decisions/0012-sent-on.md).
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -26,25 +27,28 @@
 use crate::ids::CallPriority;
 use crate::invariant::{Invariant, check};
 
-/// Waiting calls allowed for each slot.
+/// Maximum number of waiting calls per slot.
 pub const MAX_QUEUED_PER_SLOT: usize = 4;
 
-/// Late calls that may wait, as a share of the slots.
+/// Maximum number of waiting late calls per slot.
 const MAX_LATE_PER_SLOT: f64 = 0.4;
 
-/// Part of the expected run that a call needs to have a chance: run times
-/// spread, and short runs are common.
+/// Minimum time before its deadline that a call must have left, as a multiple of
+/// its expected run time. Less than 1 because run times vary and short runs are
+/// common.
 const MIN_RUN_FACTOR: f64 = 0.6;
 
-/// Multiple of the expected run that a call must have left to be likely in time.
-/// With one, half of those that just get in are late, and under a standing
-/// overload nearly all calls just get in.
+/// Time before its latency target that a call must have left to be considered in
+/// time, as a multiple of its expected run time. With a factor of 1, half of the
+/// calls that are barely admitted would be late, and under sustained overload
+/// nearly all calls are barely admitted.
 pub const LIKELY_RUN_FACTOR: f64 = 1.3;
 
-/// Share of the running mean that a new sample gets is 1 / this.
+/// Divisor of the moving average of run times: a new sample is weighted with
+/// 1 / `MEAN_RUN_DIVISOR`.
 const MEAN_RUN_DIVISOR: u32 = 8;
 
-/// The order in which calls wait: by class, then by priority.
+/// The rank of a call in the queue: by class, then by priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueRank {
     class: CallClass,
@@ -52,44 +56,46 @@
 }
 
 impl QueueRank {
-    /// Returns the rank of a call.
+    /// Returns the rank of a call with this class and priority.
     pub fn new(class: CallClass, priority: CallPriority) -> Self {
         Self { class, priority }
     }
 }
 
-/// What a call that waits for a slot needs to know.
+/// A request for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotRequest {
-    /// Its rank.
+    /// Rank in the queue.
     pub rank: QueueRank,
-    /// Until when its answer is worth most.
+    /// Latency target: calls that can finish by this time are served first.
     pub aim: Instant,
-    /// Until when its answer is worth anything.
+    /// Time after which the answer is useless.
     pub deadline: Instant,
-    /// How long it is expected to hold the slot.
+    /// Expected time for which the call holds the slot.
     pub expected_run: Duration,
-    /// Longest wait that is better than going to another target.
+    /// Longest wait that is still better than trying another target.
     pub patience: Duration,
 }
 
 impl SlotRequest {
-    /// Tells whether a call that starts at `start` is likely in time.
+    /// Returns `true` if a call that starts at `start` will probably meet its
+    /// latency target.
     fn is_in_time(&self, start: Instant) -> bool {
         start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.aim
     }
 
-    /// Tells whether a call that starts at `start` has a chance to end.
-    fn can_end(&self, start: Instant) -> bool {
+    /// Returns `true` if a call that starts at `start` may finish before its
+    /// deadline.
+    fn can_finish(&self, start: Instant) -> bool {
         start < self.deadline && start + self.expected_run.mul_f64(MIN_RUN_FACTOR) <= self.deadline
     }
 }
 
-type WaitKey = (QueueRank, Instant, u64);
+type QueueKey = (QueueRank, Instant, u64);
 
 #[derive(Debug)]
 struct WaitingCall {
-    demand: SlotRequest,
+    request: SlotRequest,
     sender: oneshot::Sender<Result<SlotPermit, RefusalReason>>,
 }
 
@@ -98,45 +104,45 @@
     slots: usize,
     busy: usize,
     is_draining: bool,
-    next_ticket: u64,
-    waiting: BTreeMap<WaitKey, WaitingCall>,
+    next_sequence: u64,
+    waiting: BTreeMap<QueueKey, WaitingCall>,
     mean_run: Duration,
 }
 
-/// Admits calls to a target; a cheap handle.
+/// Admits calls to a target. Clones are cheap and share the slots and the queue.
 #[derive(Debug, Clone)]
 pub struct SlotGate {
     state: Arc<Mutex<GateState>>,
     clock: SharedClock,
 }
 
-/// The right to run one call; gives the slot back when dropped.
+/// Permission to run one call. Frees the slot when dropped.
 #[derive(Debug)]
 pub struct SlotPermit {
     gate: SlotGate,
     started: Instant,
 }
 
-/// How full a gate is.
+/// The load of a gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GateLoad {
-    /// Calls that the target runs at once.
+    /// Maximum number of calls that the target runs concurrently.
     pub slots: usize,
-    /// Calls running.
+    /// Number of running calls.
     pub busy: usize,
-    /// Calls waiting.
+    /// Number of waiting calls.
     pub waiting: usize,
-    /// Mean time that a call holds its slot.
+    /// Moving average of the time for which calls hold a slot.
     pub mean_run: Duration,
 }
 
 impl GateLoad {
-    /// Returns the time after which one more call can expect a slot.
+    /// Returns the time after which an additional call can expect a slot.
     pub fn expected_wait(&self) -> Duration {
         if self.busy < self.slots && self.waiting == 0 {
             return Duration::ZERO;
         }
-        // Of `slots` running calls one ends every `mean_run / slots`.
+        // With all slots in use, one call finishes every `mean_run / slots`.
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
         let ahead = u32::try_from(self.waiting + 1).unwrap_or(u32::MAX);
         self.mean_run / slots * ahead
@@ -144,14 +150,14 @@
 }
 
 impl SlotGate {
-    /// Returns a gate with a number of slots.
+    /// Returns a gate that runs up to `slots` calls concurrently.
     pub fn new(slots: u16, clock: SharedClock) -> Self {
         Self {
             state: Arc::new(Mutex::new(GateState {
                 slots: usize::from(slots),
                 busy: 0,
                 is_draining: false,
-                next_ticket: 0,
+                next_sequence: 0,
                 waiting: BTreeMap::new(),
                 mean_run: Duration::ZERO,
             })),
@@ -159,13 +165,15 @@
         }
     }
 
-    /// Changes the number of slots; running calls go on.
+    /// Changes the number of slots. Running calls continue even if they exceed
+    /// the new number.
     pub fn set_slots(&self, slots: u16) {
         lock(&self.state).slots = usize::from(slots);
-        self.hand_out();
+        self.assign_free_slots();
     }
 
-    /// Refuses every call that waits and every later one.
+    /// Refuses all waiting calls and all calls that arrive until
+    /// [`Self::resume`] is called.
     pub fn drain(&self) {
         let waiting = {
             let mut state = lock(&self.state);
@@ -177,12 +185,12 @@
         }
     }
 
-    /// Admits calls again.
+    /// Admits calls again after [`Self::drain`].
     pub fn resume(&self) {
         lock(&self.state).is_draining = false;
     }
 
-    /// Returns how full the gate is.
+    /// Returns the current load of the gate.
     pub fn load(&self) -> GateLoad {
         let state = lock(&self.state);
         GateLoad {
@@ -193,71 +201,72 @@
         }
     }
 
-    /// Waits for a slot.
+    /// Waits for a slot for a call with default priority, unknown run time and no
+    /// limit on its wait other than its deadline.
     ///
     /// # Errors
     ///
-    /// The reason for which the call was refused; it was then not run.
+    /// Returns the reason why the call was refused. A refused call was not run.
     pub async fn acquire(
         &self,
         class: CallClass,
         deadline: Instant,
     ) -> Result<SlotPermit, RefusalReason> {
-        let demand = SlotRequest {
+        let request = SlotRequest {
             rank: QueueRank::new(class, CallPriority::default()),
             aim: deadline,
             deadline,
             expected_run: Duration::ZERO,
             patience: Duration::MAX,
         };
-        self.acquire_for(demand).await
+        self.acquire_for(request).await
     }
 
-    /// Waits for a slot, in the order that the demand gives.
+    /// Waits for a slot. The request determines the call's place in the queue.
     ///
     /// # Errors
     ///
-    /// As of [`Self::acquire`].
-    pub async fn acquire_for(&self, demand: SlotRequest) -> Result<SlotPermit, RefusalReason> {
-        let receiver = match self.try_enter(demand)? {
-            Entry::Admitted(permit) => return Ok(permit),
-            Entry::Waiting(receiver) => receiver,
+    /// Returns the reason why the call was refused. A refused call was not run.
+    pub async fn acquire_for(&self, request: SlotRequest) -> Result<SlotPermit, RefusalReason> {
+        let receiver = match self.try_admit(request)? {
+            Admission::Admitted(permit) => return Ok(permit),
+            Admission::Waiting(receiver) => receiver,
         };
         receiver.await.unwrap_or(Err(RefusalReason::Draining))
     }
 
-    fn try_enter(&self, demand: SlotRequest) -> Result<Entry, RefusalReason> {
+    fn try_admit(&self, request: SlotRequest) -> Result<Admission, RefusalReason> {
         let now = self.clock.now();
         let mut state = lock(&self.state);
         if state.is_draining {
             return Err(RefusalReason::Draining);
         }
-        if now >= demand.deadline {
+        if now >= request.deadline {
             return Err(RefusalReason::Deadline);
         }
         if state.busy < state.slots && state.waiting.is_empty() {
             state.busy += 1;
-            return Ok(Entry::Admitted(self.permit(now)));
+            return Ok(Admission::Admitted(self.permit(now)));
         }
-        let place = (demand.rank, demand.aim, u64::MAX);
-        let ahead = state.waiting.range(..place).count();
+        let key_bound = (request.rank, request.aim, u64::MAX);
+        let ahead = state.waiting.range(..key_bound).count();
         let wait = state.expected_wait(ahead);
-        if wait > demand.patience {
+        if wait > request.patience {
             return Err(RefusalReason::Crowded);
         }
         let start = now + wait;
-        if !demand.can_end(start) {
+        if !request.can_finish(start) {
             return Err(RefusalReason::Saturated);
         }
-        if !demand.is_in_time(start) && !state.has_room_for_late(now) {
+        if !request.is_in_time(start) && !state.can_queue_late(now) {
             return Err(RefusalReason::Saturated);
         }
-        state.make_room(&demand)?;
+        state.ensure_capacity(&request)?;
         let (sender, receiver) = oneshot::channel();
-        let key = (demand.rank, demand.aim, state.next_ticket);
-        state.next_ticket += 1;
-        state.waiting.insert(key, WaitingCall { demand, sender });
-        Ok(Entry::Waiting(receiver))
+        let key = (request.rank, request.aim, state.next_sequence);
+        state.next_sequence += 1;
+        state.waiting.insert(key, WaitingCall { request, sender });
+        Ok(Admission::Waiting(receiver))
     }
 
     fn permit(&self, started: Instant) -> SlotPermit {
@@ -267,10 +276,10 @@
         }
     }
 
-    /// Gives free slots to the calls that wait, skipping those that gave up.
-    fn hand_out(&self) {
+    /// Assigns free slots to waiting calls, skipping those whose caller gave up.
+    fn assign_free_slots(&self) {
         let now = self.clock.now();
-        self.refuse_hopeless(now);
+        self.shed_waiting(now);
         loop {
             let mut state = lock(&self.state);
             if state.busy >= state.slots {
@@ -285,74 +294,79 @@
             check(Invariant::DrainedGate, !state.is_draining);
             state.busy += 1;
             drop(state);
-            // When the receiver is gone the permit comes back here and its
-            // drop frees the slot again.
+            // If the receiver is gone, `send` returns the permit, and dropping it
+            // frees the slot again.
             drop(call.sender.send(Ok(self.permit(now))));
         }
     }
 
-    /// Refuses the calls that cannot end any more, as soon as that is known.
-    fn refuse_hopeless(&self, now: Instant) {
-        let hopeless: Vec<WaitingCall> = lock(&self.state)
+    /// Refuses the waiting calls that can no longer finish before their deadline,
+    /// and the late calls that exceed their limit.
+    fn shed_waiting(&self, now: Instant) {
+        let expired: Vec<WaitingCall> = lock(&self.state)
             .waiting
-            .extract_if(.., |_, call| !call.demand.can_end(now))
+            .extract_if(.., |_, call| !call.request.can_finish(now))
             .map(|(_, call)| call)
             .collect();
-        for call in hopeless {
+        for call in expired {
             let _ = call.sender.send(Err(RefusalReason::Deadline));
         }
-        let crowded_out = lock(&self.state).take_surplus_late(now);
-        for call in crowded_out {
+        let surplus = lock(&self.state).take_surplus_late(now);
+        for call in surplus {
             let _ = call.sender.send(Err(RefusalReason::Saturated));
         }
     }
 }
 
-enum Entry {
+enum Admission {
     Admitted(SlotPermit),
     Waiting(oneshot::Receiver<Result<SlotPermit, RefusalReason>>),
 }
 
 impl GateState {
+    /// Returns the expected wait of a call with `ahead` calls in front of it in
+    /// the queue.
     fn expected_wait(&self, ahead: usize) -> Duration {
-        // Of `slots` running calls one ends every `mean_run / slots`.
+        // With all slots in use, one call finishes every `mean_run / slots`.
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
         let ahead = u32::try_from(ahead + 1).unwrap_or(u32::MAX);
         self.mean_run / slots * ahead
     }
 
-    fn has_room_for_late(&self, now: Instant) -> bool {
+    fn can_queue_late(&self, now: Instant) -> bool {
         let late = self
             .waiting
             .values()
-            .filter(|call| !call.demand.is_in_time(now))
+            .filter(|call| !call.request.is_in_time(now))
             .count();
         (late as f64) < self.slots as f64 * MAX_LATE_PER_SLOT
     }
 
-    /// Takes the late calls for which there is no room, those with the least time
-    /// left: while calls in time keep coming they would wait in vain.
+    /// Removes and returns the late calls that exceed the limit, first in the
+    /// queue first. These have the least time left within their rank, and would
+    /// wait in vain while calls that can be in time keep arriving.
     fn take_surplus_late(&mut self, now: Instant) -> Vec<WaitingCall> {
-        let late: Vec<WaitKey> = self
+        let late: Vec<QueueKey> = self
             .waiting
             .iter()
-            .filter(|(_, call)| !call.demand.is_in_time(now))
+            .filter(|(_, call)| !call.request.is_in_time(now))
             .map(|(key, _)| *key)
             .collect();
-        let room = (self.slots as f64 * MAX_LATE_PER_SLOT).ceil() as usize;
-        let surplus = late.len().saturating_sub(room);
+        let limit = (self.slots as f64 * MAX_LATE_PER_SLOT).ceil() as usize;
+        let surplus = late.len().saturating_sub(limit);
         late.iter()
             .take(surplus)
             .filter_map(|key| self.waiting.remove(key))
             .collect()
     }
 
-    /// Takes the first call that can be in time, else the first one.
+    /// Removes and returns the first call that can be in time, or the first call
+    /// if there is none.
     fn take_next(&mut self, now: Instant) -> Option<WaitingCall> {
         let in_time = self
             .waiting
             .iter()
-            .find(|(_, call)| call.demand.is_in_time(now))
+            .find(|(_, call)| call.request.is_in_time(now))
             .map(|(key, _)| *key);
         match in_time {
             Some(key) => self.waiting.remove(&key),
@@ -360,9 +374,10 @@
         }
     }
 
-    /// Refuses the newcomer or the last of the queue, whichever is served later.
-    fn make_room(&mut self, demand: &SlotRequest) -> Result<(), RefusalReason> {
-        // A caller that gave up must not take the place of one that waits.
+    /// If the queue is full, refuses the new call or the last call in the queue,
+    /// whichever would be served later.
+    fn ensure_capacity(&mut self, request: &SlotRequest) -> Result<(), RefusalReason> {
+        // Calls whose caller gave up must not count against the limit.
         self.waiting.retain(|_, call| !call.sender.is_closed());
         if self.waiting.len() < self.slots.max(1) * MAX_QUEUED_PER_SLOT {
             return Ok(());
@@ -371,7 +386,7 @@
             return Ok(());
         };
         let (last_rank, last_aim, _) = *last.key();
-        if (last_rank, last_aim) <= (demand.rank, demand.aim) {
+        if (last_rank, last_aim) <= (request.rank, request.aim) {
             return Err(RefusalReason::Saturated);
         }
         let _ = last.remove().sender.send(Err(RefusalReason::Saturated));
@@ -391,6 +406,6 @@
                 (state.mean_run * (MEAN_RUN_DIVISOR - 1) + run) / MEAN_RUN_DIVISOR
             };
         }
-        self.gate.hand_out();
+        self.gate.assign_free_slots();
     }
 }
