--- a/src/config/view.rs
+++ b/src/config/view.rs
@@ -209,7 +209,7 @@
     /// What the link of its VM carries.
     pub link: LinkRate,
     /// When this node first saw the target serve.
-    pub since: Instant,
+    pub serving_since: Instant,
     /// Whether peers suspect the node of being dead.
     pub is_suspect: bool,
 }
@@ -223,7 +223,7 @@
     spec: &ServiceSpec,
     member: &MemberRecord,
     target: &TargetRecord,
-    since: Instant,
+    serving_since: Instant,
 ) -> TargetEntry {
     TargetEntry {
         node: member.address,
@@ -233,7 +233,7 @@
         data_centre: member.data_centre.clone(),
         slots: target.slots.min(spec.effective_max_slots()).0,
         link: member.link,
-        since,
+        serving_since,
         is_suspect: member.state == MemberState::Suspect,
     }
 }
@@ -267,8 +267,8 @@
                     continue;
                 };
                 if is_admitted(&service.spec, target) {
-                    let since = seen(member, &target.service);
-                    let entry = target_entry(&service.spec, member, target, since);
+                    let serving_since = seen(member, &target.service);
+                    let entry = target_entry(&service.spec, member, target, serving_since);
                     targets
                         .entry(target.service.clone())
                         .or_default()
--- a/src/route/cost.rs
+++ b/src/route/cost.rs
@@ -262,7 +262,7 @@
 
 /// Returns the cost of a target that has just come up and still runs slowly.
 fn slow_start_cost(target: &TargetEntry, policy: &PolicySpec, now: Instant) -> f64 {
-    let factor = slow_start_factor(now.saturating_duration_since(target.since), policy);
+    let factor = slow_start_factor(now.saturating_duration_since(target.serving_since), policy);
     (1.0 - factor) * LATENCY_COST
 }
 
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -139,7 +139,7 @@
                     data_centre: format!("r{zone}-a").parse().expect("a name"),
                     slots: SLOTS,
                     link: LinkRate::default(),
-                    since: start,
+                    serving_since: start,
                     is_suspect: false,
                 });
             }
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -186,7 +186,7 @@
     NodeAddress::from(([127, 0, 0, host], 7083))
 }
 
-fn target(host: u8, region: &str, data_centre: &str, since: Instant) -> TargetEntry {
+fn target(host: u8, region: &str, data_centre: &str, serving_since: Instant) -> TargetEntry {
     TargetEntry {
         node: address(host),
         hop: address(host),
@@ -195,7 +195,7 @@
         data_centre: data_centre.parse().expect("a name"),
         slots: 6,
         link: LinkRate::default(),
-        since,
+        serving_since,
         is_suspect: false,
     }
 }
@@ -353,7 +353,7 @@
 #[test]
 fn large_answers_leave_thin_links_alone() {
     let mut placement = Placement::new();
-    let since = placement.targets[0].since;
+    let since = placement.targets[0].serving_since;
     placement.targets.push(target(4, "r1", "r1-a", since));
     placement.targets[0].link = LinkRate(7_000);
     placement.targets[3].link = LinkRate(140_000);
@@ -413,7 +413,7 @@
 #[test]
 fn calls_spread_over_near_targets_before_one_is_full() {
     let mut placement = Placement::new();
-    let since = placement.targets[0].since;
+    let since = placement.targets[0].serving_since;
     placement.targets.push(target(4, "r1", "r1-a", since));
     placement.fill(1, 4);
     for _ in 0..20 {
--- a/tests/integration/route_rules.rs
+++ b/tests/integration/route_rules.rs
@@ -40,7 +40,7 @@
         data_centre: data_centre.parse().expect("a name"),
         slots: 4,
         link: LinkRate::default(),
-        since: Instant::now(),
+        serving_since: Instant::now(),
         is_suspect: false,
     }
 }
