--- a/src/config/fold.rs
+++ b/src/config/fold.rs
@@ -68,7 +68,7 @@
         resources: ResourceMap,
         recent: Vec<(ChangeId, ConfigVersion, FoldVerdict)>,
     ) -> Self {
-        let recent_ids = recent.iter().map(|(id, _, _)| *id).collect();
+        let ids = recent.iter().map(|(id, _, _)| *id).collect();
         let verdicts = recent
             .into_iter()
             .map(|(id, version, verdict)| (id, (version, verdict)))
@@ -77,7 +77,7 @@
             version,
             chain,
             resources,
-            recent_ids,
+            recent_ids: ids,
             verdicts,
         }
     }
--- a/src/config/resource.rs
+++ b/src/config/resource.rs
@@ -1,7 +1,7 @@
-//! The resources that operators write.
+//! The configuration resources that operators write.
 //!
-//! Durations are whole milliseconds in these types, since that is what the
-//! API speaks; accessors return the standard types.
+//! Durations are whole milliseconds in these types, as in the API; accessors
+//! return them as [`Duration`].
 
 use std::fmt;
 use std::net::IpAddr;
@@ -12,38 +12,39 @@
 
 use crate::ids::{CallPriority, HostName, PathPrefix, Percent, RouteName, ServiceName, SlotCount};
 
-/// Deadline of a route that names none, in milliseconds.
+/// Default deadline of a route, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
-/// Longest deadline that a route may give, in milliseconds.
+/// Maximum deadline of a route and maximum timeout in the limits, in
+/// milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Name of the limits that are in force.
+/// Name of the limits that apply; limits with another name are rejected.
 pub const ACTIVE_LIMITS_NAME: &str = "callers";
 
-/// Most slots that a service may allow a target.
+/// Maximum value of [`ServiceSpec::max_slots`].
 pub const MAX_SLOTS: u16 = 4096;
 
 record! {
-    /// A service and who may serve it.
+    /// A service and the targets that are permitted to serve it.
     #[serde(deny_unknown_fields)]
     pub struct ServiceSpec {
         /// Name of the service.
         pub name: ServiceName,
-        /// Addresses from which a target may announce itself.
+        /// Address ranges whose targets may serve the service.
         pub permit: Vec<AddressRange>,
-        /// Most slots that a target may announce.
+        /// Maximum number of slots of a target.
         #[serde(default = "default_slots")]
         pub max_slots: SlotCount,
-        /// Most connections that a gate opens to its target.
+        /// Maximum number of connections that a gate opens to its target.
         #[serde(default = "default_connections")]
         pub max_connections: u16,
-        /// Retries that a node may add, as a share of recent calls.
+        /// Retry budget of a node, as a percentage of recent calls.
         #[serde(default = "default_retry")]
         pub retry_percent: Percent,
     }
 
-    /// A route from a host and a path prefix to services.
+    /// A route that maps a host and a path prefix to services.
     #[serde(deny_unknown_fields)]
     pub struct RouteSpec {
         /// Name of the route.
@@ -53,86 +54,94 @@
         pub host: Option<HostName>,
         /// Path prefix that the route matches.
         pub path: PathPrefix,
-        /// Services that share the route's calls by weight.
+        /// Services among which calls are split by weight.
         pub services: Vec<WeightedService>,
-        /// Class under which calls wait at a gate.
+        /// Class of the route's calls in the queue of a gate.
         #[serde(default)]
         pub class: CallClass,
-        /// Time allowed for a call, in milliseconds.
+        /// Deadline of a call, in milliseconds after its start.
         #[serde(default = "default_deadline")]
         pub deadline_ms: u64,
-        /// Whether calls are idempotent; by method (RFC 9110, 9.2.2) when absent.
+        /// Whether calls are idempotent; decided by the method (RFC 9110, 9.2.2)
+        /// when absent.
         #[serde(default)]
         pub idempotent: Option<bool>,
-        /// Most calls that one node has under way on this route; no bound when absent.
+        /// Maximum number of calls in flight on this route at one node;
+        /// unlimited when absent.
         #[serde(default)]
         pub max_concurrent: Option<u32>,
-        /// Whether a path must go on below the prefix: `/a/` then matches `/a/b`
-        /// but not `/a`.
+        /// Whether a path must start with the prefix as written, including its
+        /// trailing slash: `/a/` then matches `/a/b` but not `/a`.
         #[serde(default)]
         pub only_below: bool,
-        /// Most targets that one call is sent to; the node's own bound when absent.
+        /// Maximum number of targets that one call is sent to; the node's
+        /// default when absent.
         #[serde(default)]
         pub max_attempts: Option<u32>,
-        /// Time within which an answer is worth most, in milliseconds.
+        /// Latency that the route aims for, in milliseconds: later answers
+        /// are worth less.
         #[serde(default)]
         pub target_latency_ms: Option<u64>,
-        /// Rank among the calls of one class; 0 is served first.
+        /// Priority among the calls of the same class; 0 is served first.
         #[serde(default)]
         pub priority: CallPriority,
     }
 
-    /// What callers may send, and how long they may take or stay idle.
+    /// Limits on the requests and connections of callers.
     #[serde(deny_unknown_fields)]
     pub struct LimitsSpec {
-        /// Name of the limits; those named [`ACTIVE_LIMITS_NAME`] are in force.
+        /// Name of the limits; must be [`ACTIVE_LIMITS_NAME`].
         pub name: ServiceName,
-        /// Bytes of a request's head at most.
+        /// Maximum size of a request's head in bytes.
         pub max_head_bytes: u64,
-        /// Bytes of a request's body at most.
+        /// Maximum size of a request's body in bytes.
         pub max_body_bytes: u64,
-        /// Time for the head of a request, in milliseconds.
+        /// Time within which the head of a request must arrive, in
+        /// milliseconds.
         pub head_timeout_ms: u64,
-        /// Time that a connection may stay idle, in milliseconds.
+        /// Time after which an idle connection is closed, in milliseconds.
         pub idle_timeout_ms: u64,
     }
 
-    /// A service with its share of a route's calls.
+    /// A service and its share of a route's calls.
     #[serde(deny_unknown_fields)]
     pub struct WeightedService {
         /// Name of the service.
         pub service: ServiceName,
-        /// Share relative to the other weights.
+        /// Weight of the service relative to the others of the route.
         #[serde(default = "default_weight")]
         pub weight: u32,
     }
 
-    /// How nodes choose among the targets of a service.
+    /// How nodes balance calls among the targets of a service.
     #[serde(deny_unknown_fields)]
     pub struct PolicySpec {
-        /// Service that the policy is for.
+        /// Service that the policy applies to.
         pub service: ServiceName,
-        /// Time in which a new target's share grows to a full one, in milliseconds.
+        /// Time during which the share of a new target grows to a full share, in
+        /// milliseconds.
         #[serde(default = "default_slow_start")]
         pub slow_start_ms: u64,
-        /// Failures in a row after which a node ejects a target.
+        /// Number of consecutive failures after which a node ejects a target.
         #[serde(default = "default_eject_after")]
         pub eject_after: u32,
-        /// First ejection time, in milliseconds; doubles each time.
+        /// Duration of the first ejection in milliseconds; doubled for each
+        /// further one.
         #[serde(default = "default_eject_base")]
         pub eject_base_ms: u64,
-        /// Largest share of the targets that a node ejects.
+        /// Maximum share of the targets that a node ejects at the same time.
         #[serde(default = "default_eject_share")]
         pub eject_max_share: Percent,
-        /// Load of the nearer targets at which calls go further away.
+        /// Load of the nearer targets at which calls spill over to targets that
+        /// are farther away.
         #[serde(default = "default_spill_enter")]
         pub spill_enter: Percent,
-        /// Load of the nearer targets at which calls come back.
+        /// Load of the nearer targets below which spillover ends.
         #[serde(default = "default_spill_leave")]
         pub spill_leave: Percent,
     }
 
-    /// Any resource.
+    /// A resource of any kind.
     #[serde(tag = "kind", rename_all = "lowercase")]
     pub enum Resource {
         /// A service.
@@ -160,25 +169,26 @@
     Limits,
 }
 
-/// The class under which a call waits at a gate; the first is served first.
+/// The class of a call in the queue of a gate; interactive calls are served
+/// first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum CallClass {
-    /// Somebody waits for the answer.
+    /// A user is waiting for the answer.
     #[default]
     Interactive,
-    /// Work that may be shed first.
+    /// Background work, which is shed first under overload.
     Bulk,
 }
 
-/// Names one resource.
+/// Identifies a resource.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResourceKey {
     /// Kind of the resource.
     pub kind: ResourceKind,
-    /// Name within the kind.
+    /// Name of the resource, unique within its kind.
     pub name: String,
 }
 
@@ -186,11 +196,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AddressRange {
     base: IpAddr,
-    prefix: u8,
+    prefix_length: u8,
 }
 
 impl Resource {
-    /// Returns the key under which the resource is kept.
+    /// Returns the key that identifies the resource.
     pub fn key(&self) -> ResourceKey {
         match self {
             Resource::Service(spec) => ResourceKey::new(ResourceKind::Service, spec.name.as_str()),
@@ -202,7 +212,7 @@
 }
 
 impl ResourceKey {
-    /// Returns the key of a kind and a name.
+    /// Returns the key for a kind and a name.
     pub fn new(kind: ResourceKind, name: &str) -> Self {
         Self {
             kind,
@@ -245,7 +255,7 @@
 }
 
 impl CallClass {
-    /// Returns the name that logs and headers use.
+    /// Returns the name that is used in logs and headers.
     pub fn name(self) -> &'static str {
         match self {
             CallClass::Interactive => "interactive",
@@ -261,19 +271,21 @@
         match text {
             "interactive" => Ok(CallClass::Interactive),
             "bulk" => Ok(CallClass::Bulk),
-            _ => Err(format!("unknown class {text:?}")),
+            _ => Err(format!(
+                "unknown class {text:?}, allowed are interactive and bulk"
+            )),
         }
     }
 }
 
 impl RouteSpec {
-    /// Returns the time allowed for a call.
+    /// Returns the time within which a call must end.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// Returns the time within which an answer is worth most: the deadline when
-    /// the route names none.
+    /// Returns the latency that the route aims for, or the deadline if it sets
+    /// none.
     pub fn target_latency(&self) -> Duration {
         self.target_latency_ms
             .map_or(self.deadline(), Duration::from_millis)
@@ -281,28 +293,31 @@
 }
 
 impl LimitsSpec {
-    /// Returns the time that a connection may stay idle.
+    /// Returns the time after which an idle connection is closed.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.idle_timeout_ms)
     }
 }
 
 impl ServiceSpec {
-    /// Tells whether a target at `address` may serve the service.
+    /// Returns `true` if a target at `address` may serve the service.
     pub fn permits(&self, address: IpAddr) -> bool {
         self.permit.iter().any(|range| range.contains(address))
     }
 
-    /// Returns the most slots that a target may have. Each call that runs has a
-    /// connection of its own and takes an idle one first, so a target never has
-    /// more connections than slots, and the bound of connections holds as well.
+    /// Returns the maximum number of slots of a target, bounded also by
+    /// [`max_connections`](Self::max_connections).
+    ///
+    /// Each running call has its own connection and reuses an idle one first, so
+    /// a target never has more connections than slots, and bounding the slots
+    /// also bounds the connections.
     pub fn effective_max_slots(&self) -> SlotCount {
         self.max_slots.min(SlotCount(self.max_connections))
     }
 }
 
 impl PolicySpec {
-    /// Returns the policy of a service that has none.
+    /// Returns the policy of a service for which none is configured.
     pub fn default_for(service: ServiceName) -> Self {
         Self {
             service,
@@ -317,16 +332,16 @@
 }
 
 impl AddressRange {
-    /// Tells whether `address` lies in the range.
+    /// Returns `true` if `address` is in the range.
     pub fn contains(&self, address: IpAddr) -> bool {
-        let (base, other, width) = match (self.base, address) {
+        let (base, other, bit_width) = match (self.base, address) {
             (IpAddr::V4(base), IpAddr::V4(other)) => {
                 (u128::from(base.to_bits()), u128::from(other.to_bits()), 32)
             }
             (IpAddr::V6(base), IpAddr::V6(other)) => (base.to_bits(), other.to_bits(), 128),
             _ => return false,
         };
-        let shift = width - u32::from(self.prefix);
+        let shift = bit_width - u32::from(self.prefix_length);
         base.checked_shr(shift).unwrap_or(0) == other.checked_shr(shift).unwrap_or(0)
     }
 }
@@ -335,24 +350,27 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let bad = || format!("{text:?} is not an address range such as 10.1.0.0/16");
-        let (base, prefix) = match text.split_once('/') {
-            Some((base, prefix)) => (base, Some(prefix.parse::<u8>().map_err(|_| bad())?)),
+        let error = || format!("{text:?} is not an address range such as 10.1.0.0/16");
+        let (base, length) = match text.split_once('/') {
+            Some((base, length)) => (base, Some(length.parse::<u8>().map_err(|_| error())?)),
             None => (text, None),
         };
-        let base: IpAddr = base.parse().map_err(|_| bad())?;
-        let width = if base.is_ipv4() { 32 } else { 128 };
-        let prefix = prefix.unwrap_or(width);
-        if prefix > width {
-            return Err(bad());
+        let base: IpAddr = base.parse().map_err(|_| error())?;
+        let bit_width = if base.is_ipv4() { 32 } else { 128 };
+        let prefix_length = length.unwrap_or(bit_width);
+        if prefix_length > bit_width {
+            return Err(error());
         }
-        Ok(Self { base, prefix })
+        Ok(Self {
+            base,
+            prefix_length,
+        })
     }
 }
 
 impl fmt::Display for AddressRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.base, self.prefix)
+        write!(f, "{}/{}", self.base, self.prefix_length)
     }
 }
 
--- a/src/config/view.rs
+++ b/src/config/view.rs
@@ -1,10 +1,10 @@
-//! The view in force: one immutable set of routes, services and targets.
+//! Views: immutable sets of routes, services and targets.
 //!
-//! A request takes one view when it starts and keeps it to the end, so a
-//! change that arrives meanwhile cannot leave it between two versions. All
-//! cross-references are resolved when a view is built. Building costs some
-//! time on each change; looking names up on each call would cost more and
-//! could fail there.
+//! A request loads the current view when it starts and uses it until it ends,
+//! so a concurrent change cannot make it see a mix of two versions. All
+//! cross-references are resolved when a view is built. That costs some time for
+//! each change, but resolving names for each call would cost more, and could
+//! fail there.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -25,39 +25,39 @@
 use crate::invariant::{Invariant, check};
 use crate::member::record::{MemberRecord, MemberState, TargetRecord, TargetState};
 
-/// A service with the policy that applies to it.
+/// A service and the policy that applies to it.
 #[derive(Debug)]
 pub struct ServiceEntry {
-    /// The service.
+    /// The service as configured.
     pub spec: ServiceSpec,
-    /// Its policy.
+    /// The configured policy, or the default one.
     pub policy: PolicySpec,
 }
 
-/// A route with its services resolved.
+/// A route whose references to services are resolved.
 #[derive(Debug)]
 pub struct RouteEntry {
-    /// The route.
+    /// The route as configured.
     pub spec: RouteSpec,
-    /// Its services with their weights.
+    /// The services of the route and their weights.
     pub services: Vec<(Arc<ServiceEntry>, u32)>,
 }
 
-/// The routes and services of one version.
+/// The routes and services of one version of the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigView {
     /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Hash over the records up to the version.
+    /// Hash of the records or the document behind the version.
     pub chain: ChainHash,
-    /// Resources from which the view was built.
+    /// Resources that the view was built from.
     pub resources: ResourceMap,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Arc<ServiceEntry>>,
     /// Limits on callers, if the configuration sets them.
     pub limits: Option<LimitsSpec>,
-    by_host: HashMap<String, Vec<Arc<RouteEntry>>>,
-    any_host: Vec<Arc<RouteEntry>>,
+    routes_by_host: HashMap<String, Vec<Arc<RouteEntry>>>,
+    routes_for_any_host: Vec<Arc<RouteEntry>>,
 }
 
 impl TryFrom<&ConfigState> for ConfigView {
@@ -65,13 +65,13 @@
 
     fn try_from(state: &ConfigState) -> Result<Self, ViewError> {
         let mut policies = BTreeMap::new();
-        for held in state.resources().values() {
-            if let Resource::Policy(policy) = &held.resource {
+        for entry in state.resources().values() {
+            if let Resource::Policy(policy) = &entry.resource {
                 policies.insert(policy.service.clone(), policy.clone());
             }
         }
         let key = ResourceKey::new(ResourceKind::Limits, ACTIVE_LIMITS_NAME);
-        let limits = match state.resources().get(&key).map(|held| &held.resource) {
+        let limits = match state.resources().get(&key).map(|entry| &entry.resource) {
             Some(Resource::Limits(limits)) => Some(limits.clone()),
             _ => None,
         };
@@ -82,8 +82,8 @@
             limits,
             ..Self::default()
         };
-        for held in state.resources().values() {
-            if let Resource::Service(spec) = &held.resource {
+        for entry in state.resources().values() {
+            if let Resource::Service(spec) = &entry.resource {
                 let policy = policies
                     .remove(&spec.name)
                     .unwrap_or_else(|| PolicySpec::default_for(spec.name.clone()));
@@ -94,10 +94,10 @@
             }
         }
         if let Some(name) = policies.into_keys().next() {
-            return Err(dangling(format!("service/{name}")));
+            return Err(dangling_reference(format!("service/{name}")));
         }
-        for held in state.resources().values() {
-            if let Resource::Route(spec) = &held.resource {
+        for entry in state.resources().values() {
+            if let Resource::Route(spec) = &entry.resource {
                 view.add_route(spec)?;
             }
         }
@@ -106,9 +106,9 @@
     }
 }
 
-fn dangling(what: String) -> ViewError {
+fn dangling_reference(key: String) -> ViewError {
     check(Invariant::ViewComplete, false);
-    ViewError::DanglingReference(what)
+    ViewError::DanglingReference(key)
 }
 
 impl ConfigView {
@@ -118,7 +118,7 @@
             let service = self
                 .services
                 .get(&weighted.service)
-                .ok_or_else(|| dangling(format!("service/{}", weighted.service)))?;
+                .ok_or_else(|| dangling_reference(format!("service/{}", weighted.service)))?;
             services.push((Arc::clone(service), weighted.weight));
         }
         let route = Arc::new(RouteEntry {
@@ -127,46 +127,51 @@
         });
         match &spec.host {
             Some(host) => self
-                .by_host
+                .routes_by_host
                 .entry(host.as_str().to_owned())
                 .or_default()
                 .push(route),
-            None => self.any_host.push(route),
+            None => self.routes_for_any_host.push(route),
         }
         Ok(())
     }
 
-    /// Puts the longest prefix first, so that the first match is the best one.
+    /// Sorts routes by descending prefix length, so that the first match is the
+    /// most specific one.
     fn sort_routes(&mut self) {
         let longest_first = |route: &Arc<RouteEntry>| {
             std::cmp::Reverse(normalize_path(route.spec.path.as_str()).len())
         };
-        self.any_host.sort_by_key(longest_first);
-        for routes in self.by_host.values_mut() {
+        self.routes_for_any_host.sort_by_key(longest_first);
+        for routes in self.routes_by_host.values_mut() {
             routes.sort_by_key(longest_first);
         }
     }
 
-    /// Returns the route with the longest prefix; a route for the host goes
-    /// before one for any host.
+    /// Returns the route that matches `host` and `path`, if there is one.
+    ///
+    /// Any port in `host` is ignored. A route for this host is preferred to one
+    /// for any host, and among these the route with the longest prefix is
+    /// returned.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let host = host
             .split(':')
             .next()
             .unwrap_or_default()
             .to_ascii_lowercase();
-        let own = self
-            .by_host
+        let host_routes = self
+            .routes_by_host
             .get(&host)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        own.iter()
-            .chain(&self.any_host)
-            .find(|route| covers(&route.spec, path))
+        host_routes
+            .iter()
+            .chain(&self.routes_for_any_host)
+            .find(|route| matches_path(&route.spec, path))
     }
 
-    /// Returns the same routes and services at a later version, for a record
-    /// that was rejected.
+    /// Returns a view with the same routes and services at a later version, which
+    /// a rejected record leads to.
     pub fn with_version(&self, version: ConfigVersion, chain: ChainHash) -> Self {
         Self {
             version,
@@ -177,11 +182,11 @@
 
     /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
-        self.any_host.len() + self.by_host.values().map(Vec::len).sum::<usize>()
+        self.routes_for_any_host.len() + self.routes_by_host.values().map(Vec::len).sum::<usize>()
     }
 }
 
-fn covers(spec: &RouteSpec, path: &str) -> bool {
+fn matches_path(spec: &RouteSpec, path: &str) -> bool {
     if spec.only_below {
         return path.starts_with(spec.path.as_str());
     }
@@ -191,31 +196,31 @@
     }
 }
 
-/// A target as a node sees it.
+/// A target and the node through which calls reach it.
 #[derive(Debug, Clone)]
 pub struct TargetEntry {
-    /// The node beside the target.
+    /// Identity of the node on the target's VM.
     pub node: NodeAddress,
-    /// Where that node takes calls from other nodes.
+    /// Address at which that node accepts calls from other nodes.
     pub hop: NodeAddress,
-    /// The life of that node.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
     /// Region of the target.
     pub region: RegionName,
     /// Data centre of the target.
     pub data_centre: DataCentre,
-    /// Calls that the target runs at once.
+    /// Number of calls that the target can run concurrently.
     pub slots: u16,
-    /// What the link of its VM carries.
+    /// Bandwidth of the network link of the target's VM.
     pub link: LinkRate,
-    /// When this node first saw the target serve.
+    /// Time at which this node first saw the target serving.
     pub serving_since: Instant,
-    /// Whether peers suspect the node of being dead.
+    /// Whether the failure detector suspects the target's node of being dead.
     pub is_suspect: bool,
 }
 
-/// Tells whether a target serves and its service permits it.
-fn is_admitted(spec: &ServiceSpec, target: &TargetRecord) -> bool {
+/// Returns `true` if a target is serving and its service permits its address.
+fn is_routable(spec: &ServiceSpec, target: &TargetRecord) -> bool {
     target.state == TargetState::Serving && spec.permits(target.address.ip())
 }
 
@@ -238,7 +243,7 @@
     }
 }
 
-/// Routes, services and the targets that serve them.
+/// The routes, the services and the targets that serve them.
 #[derive(Debug, Default)]
 pub struct ServingView {
     /// Routes and services.
@@ -247,12 +252,12 @@
 }
 
 impl ServingView {
-    /// Joins a configuration with the members that serve its services.
+    /// Combines a configuration with the live members whose targets serve it.
     ///
-    /// A target whose service the configuration does not hold, or does not
-    /// permit, is left out; `seen` gives the time at which a target was first
-    /// seen to serve.
-    pub fn build<'a, I, F>(config: Arc<ConfigView>, members: I, mut seen: F) -> Self
+    /// Targets are left out if the configuration does not contain their service
+    /// or the service does not permit them. `first_seen` returns the time at
+    /// which a target was first seen serving.
+    pub fn build<'a, I, F>(config: Arc<ConfigView>, members: I, mut first_seen: F) -> Self
     where
         I: IntoIterator<Item = &'a MemberRecord>,
         F: FnMut(&MemberRecord, &ServiceName) -> Instant,
@@ -266,8 +271,8 @@
                 let Some(service) = config.services.get(&target.service) else {
                     continue;
                 };
-                if is_admitted(&service.spec, target) {
-                    let serving_since = seen(member, &target.service);
+                if is_routable(&service.spec, target) {
+                    let serving_since = first_seen(member, &target.service);
                     let entry = target_entry(&service.spec, member, target, serving_since);
                     targets
                         .entry(target.service.clone())
@@ -283,61 +288,69 @@
         Self { config, targets }
     }
 
-    /// Returns the targets of a service that a later view may no longer have.
+    /// Returns the targets of a service, or `None` if this view does not contain
+    /// the service, for example because a newer version removed it.
     pub fn find_targets(&self, service: &ServiceName) -> Option<Arc<Vec<TargetEntry>>> {
         self.targets.get(service).cloned()
     }
 
-    /// Returns the targets of a service of this view.
+    /// Returns the targets of a service that this view is known to contain.
+    ///
+    /// If it does not contain the service, that counts as a violation of
+    /// [`Invariant::ViewComplete`] and the result is empty.
     pub fn targets(&self, service: &ServiceName) -> Arc<Vec<TargetEntry>> {
-        let found = self.targets.get(service);
-        check(Invariant::ViewComplete, found.is_some());
-        found.cloned().unwrap_or_default()
+        let targets = self.targets.get(service);
+        check(Invariant::ViewComplete, targets.is_some());
+        targets.cloned().unwrap_or_default()
     }
 }
 
-/// Holds the view in force; a cheap handle that all tasks share.
+/// The current view, shared by all tasks; cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct ViewCell {
     current: Arc<ArcSwap<ServingView>>,
 }
 
 impl ViewCell {
-    /// Returns a cell with the empty view.
+    /// Returns a cell that contains the empty view.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the view in force.
+    /// Returns the current view.
     pub fn load(&self) -> Arc<ServingView> {
         self.current.load_full()
     }
 
-    /// Puts a view in force unless it is older than the one that is.
+    /// Replaces the current view unless `view` has a lower version.
     ///
     /// # Errors
     ///
-    /// [`ViewError::Older`] when the version would fall; the cell is unchanged.
+    /// Returns [`ViewError::Older`] if the version would decrease; the current
+    /// view is then unchanged.
     pub fn advance(&self, view: ServingView) -> Result<(), ViewError> {
         let view = Arc::new(view);
-        let held = self.current.rcu(|held| {
-            if held.config.version > view.config.version {
-                Arc::clone(held)
+        let previous = self.current.rcu(|current| {
+            if current.config.version > view.config.version {
+                Arc::clone(current)
             } else {
                 Arc::clone(&view)
             }
         });
-        if held.config.version > view.config.version {
+        if previous.config.version > view.config.version {
             return Err(ViewError::Older {
-                current: held.config.version,
+                current: previous.config.version,
                 offered: view.config.version,
             });
         }
-        let is_same_fold =
-            held.config.version != view.config.version || held.config.chain == view.config.chain;
+        let is_same_fold = previous.config.version != view.config.version
+            || previous.config.chain == view.config.chain;
         check(Invariant::SameFold, is_same_fold);
-        let current = self.current.load().config.version;
-        check(Invariant::VersionRises, current >= view.config.version);
+        let current_version = self.current.load().config.version;
+        check(
+            Invariant::VersionRises,
+            current_version >= view.config.version,
+        );
         Ok(())
     }
 }
