--- a/wisteriaturnd/src/admin/change.rs
+++ b/wisteriaturnd/src/admin/change.rs
@@ -1,9 +1,10 @@
-//! Changes of the configuration: from a request to a verdict.
+//! Configuration changes, from the request to the verdict.
 //!
-//! A change is appended to the log and its verdict read from the fold. A lost
-//! answer of the log is settled by reading the stream until the change id
-//! appears; when the log stays silent the writer is told that the outcome is
-//! unknown and which id to ask about, never a guess.
+//! A change is appended to the log; whether it was accepted follows from
+//! folding the log up to its record. If the response to the append is lost, the
+//! node reads the stream until the change id appears. If the log stays
+//! unavailable, the client is told that the outcome is unknown and which change
+//! id to query; the node never guesses.
 
 use std::time::{Duration, Instant};
 
@@ -21,64 +22,66 @@
 use crate::error::ApplyError;
 use crate::node::{NodeHandle, NodeState};
 
-/// Time for a change to get its verdict.
-const APPLY_TIME: Duration = Duration::from_secs(8);
+/// How long [`apply`] waits for the verdict on a change.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Pause between two looks at the log.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two reads of the log while waiting for a verdict.
+const LOG_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A change as a request carries it.
+/// A change as written in a request body, not yet validated.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawChange {
-    /// Chosen by the writer, or by the node when absent.
+    /// Identifier chosen by the client; the node generates one if absent.
     #[serde(default)]
     pub change_id: Option<ChangeId>,
-    /// Who asks.
+    /// Author to record with the change.
     #[serde(default)]
     pub author: Option<AuthorName>,
-    /// The writes.
+    /// Operations that are applied together or not at all.
     pub operations: Vec<RawOperation>,
 }
 
-/// A write as a request carries it: exactly one of `put` and `delete`.
+/// An operation as written in a request body: exactly one of `put` and
+/// `delete`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawOperation {
-    /// The new value.
+    /// Resource to create or replace.
     #[serde(default)]
     pub put: Option<Resource>,
     /// `kind/name` of the resource to delete.
     #[serde(default)]
     pub delete: Option<String>,
-    /// What the writer expects.
+    /// Precondition on the current revision of the resource.
     #[serde(default)]
     pub expect: Option<RawExpectation>,
 }
 
-/// A revision, `"any"` or `"absent"`.
+/// A precondition as written in a request: a revision, `"any"` or `"absent"`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged)]
 pub enum RawExpectation {
-    /// A revision.
+    /// The resource must have this revision.
     Revision(u64),
-    /// A word.
+    /// `"any"` or `"absent"`; other words are rejected during conversion.
     Word(String),
 }
 
-/// What became of a change.
+/// Outcome of a change whose record this node has folded.
 #[derive(Debug, Clone, Serialize)]
 pub struct ChangeReport {
     /// Identifier of the change.
     pub change_id: ChangeId,
-    /// Version of its record.
+    /// Configuration version that the record of the change produced.
     pub version: ConfigVersion,
-    /// Whether it is in force.
+    /// Whether the change was accepted.
     pub accepted: bool,
-    /// Why it was rejected.
+    /// Why the change was rejected; absent if it was accepted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// Whether it was rejected for a revision.
+    /// Whether the change was rejected because a resource did not have the
+    /// expected revision or a resource to delete did not exist.
     #[serde(skip)]
     pub is_conflict: bool,
 }
@@ -121,7 +124,7 @@
         match (raw.put, raw.delete) {
             (Some(resource), None) => Ok(Operation::put(resource, expect)),
             (None, Some(key)) => Ok(Operation::delete(parse_key(&key)?, expect)),
-            _ => Err("needs exactly one of put and delete".to_owned()),
+            _ => Err("expected exactly one of put and delete".to_owned()),
         }
     }
 }
@@ -141,11 +144,11 @@
     }
 }
 
-/// Parses `kind/name`.
+/// Parses a resource key of the form `kind/name`.
 ///
 /// # Errors
 ///
-/// What is wrong with the text.
+/// Returns a message if the slash is missing or the kind is unknown.
 pub fn parse_key(text: &str) -> Result<ResourceKey, String> {
     let (kind, name) = text
         .split_once('/')
@@ -155,7 +158,7 @@
 }
 
 impl ChangeReport {
-    /// Returns the status of the reply.
+    /// Returns the HTTP status for this outcome.
     pub fn status(&self) -> StatusCode {
         match (self.accepted, self.is_conflict) {
             (true, _) => StatusCode::OK,
@@ -166,7 +169,7 @@
 }
 
 impl ApplyError {
-    /// Returns the status of the reply.
+    /// Returns the HTTP status for this error.
     pub fn status(&self) -> StatusCode {
         match self {
             ApplyError::Encoding(_) => StatusCode::PAYLOAD_TOO_LARGE,
@@ -177,7 +180,8 @@
     }
 }
 
-/// Returns what became of a change that this node has folded.
+/// Returns the outcome of a change, or `None` if this node has not folded it or
+/// no longer remembers its verdict.
 pub fn find_report(node: &NodeState, id: ChangeId) -> Option<ChangeReport> {
     let store = lock(&node.store);
     let (version, verdict) = store.state().verdict(id)?;
@@ -198,11 +202,13 @@
     })
 }
 
-/// Appends a change and waits for its verdict.
+/// Appends a change to the log and waits for its verdict. A change that this
+/// node has already folded is not appended again.
 ///
 /// # Errors
 ///
-/// [`ApplyError`] says whether the change may still come into force.
+/// Returns an [`ApplyError`], which tells whether the change may still take
+/// effect.
 pub async fn apply(node: &NodeHandle, change: &Change) -> Result<ChangeReport, ApplyError> {
     if node.documents.is_some() {
         return Err(ApplyError::ReadOnly);
@@ -211,7 +217,7 @@
         return Ok(report);
     }
     let record = change.encode().map_err(ApplyError::Encoding)?;
-    let until = node.clock.now() + APPLY_TIME;
+    let deadline = node.clock.now() + APPLY_TIMEOUT;
     match node.log.append(CONFIG_STREAM, record).await {
         Ok(_) => {}
         Err(LogError::Indeterminate(error)) => {
@@ -219,25 +225,25 @@
         }
         Err(error) => return Err(ApplyError::Refused(error)),
     }
-    wait_verdict(node, change.id, until).await
+    wait_for_verdict(node, change.id, deadline).await
 }
 
-async fn wait_verdict(
+async fn wait_for_verdict(
     node: &NodeHandle,
     id: ChangeId,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<ChangeReport, ApplyError> {
     loop {
-        // The writer's node does not wait for a relay: it reads the log itself
-        // and pushes what it finds.
+        // Reads the log directly rather than waiting for a relay to deliver the
+        // record; new records are pushed to peers as they are folded.
         let read = follow::read_to_end(node);
-        let _ = tokio::time::timeout_at(until.into(), read).await;
+        let _ = tokio::time::timeout_at(deadline.into(), read).await;
         if let Some(report) = find_report(node, id) {
             return Ok(report);
         }
-        if node.clock.now() + LOOK_PAUSE >= until {
+        if node.clock.now() + LOG_POLL_INTERVAL >= deadline {
             return Err(ApplyError::Unknown);
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(LOG_POLL_INTERVAL).await;
     }
 }
--- a/wisteriaturnd/src/admin/mod.rs
+++ b/wisteriaturnd/src/admin/mod.rs
@@ -1,7 +1,8 @@
-//! The resource API, the targets' announcements and the metrics.
+//! The admin HTTP server: the resource API, target announcements and metrics.
 //!
-//! Reads show the view in force on this node, the same that its calls use.
-//! [docs/API.md](../../../docs/API.md) has all requests.
+//! Reads return the configuration view of the node that serves them, which is
+//! the view that its calls are routed by; it may lag behind other nodes.
+//! [docs/API.md](../../../docs/API.md) lists all requests.
 
 pub mod change;
 pub mod port;
--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -1,4 +1,5 @@
-//! The port for operators, targets and metrics readers.
+//! HTTP server and request routing of the admin port, which serves operators,
+//! targets and metrics scrapers.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -29,17 +30,17 @@
 use crate::http::body::NodeBody;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Connections that are open at once.
-const CONNECTION_LIMIT: usize = 256;
+/// Maximum number of open connections; further ones are closed on accept.
+const MAX_CONNECTIONS: usize = 256;
 
-/// Time for the head of a request.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+/// How long a client may take to send the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts connections for as long as the node runs.
+/// Accepts admin connections until the task is aborted.
 pub async fn accept_task(node: NodeHandle, listener: TcpListener) {
-    let connections = Arc::new(Semaphore::new(CONNECTION_LIMIT));
+    let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok((stream, from)) = listener.accept().await else {
+        let Ok((stream, peer)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -49,49 +50,56 @@
         };
         let node = node.clone();
         tokio::spawn(async move {
-            serve(node, stream, from).await;
+            serve_connection(node, stream, peer).await;
             drop(permit);
         });
     }
 }
 
-async fn serve(node: NodeHandle, stream: TcpStream, from: SocketAddr) {
+async fn serve_connection(node: NodeHandle, stream: TcpStream, peer: SocketAddr) {
     let service = service_fn(|request| {
         let node = node.clone();
-        async move { Ok::<_, Infallible>(handle(&node, request, from).await) }
+        async move { Ok::<_, Infallible>(handle_request(&node, request, peer).await) }
     });
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIME)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn handle(
+async fn handle_request(
     node: &NodeHandle,
     request: Request<Incoming>,
-    from: SocketAddr,
+    peer: SocketAddr,
 ) -> Response<NodeBody> {
     let path = request.uri().path().to_owned();
-    let parts: Vec<&str> = path.split('/').filter(|part| !part.is_empty()).collect();
+    let segments: Vec<&str> = path
+        .split('/')
+        .filter(|segment| !segment.is_empty())
+        .collect();
     let method = request.method().clone();
-    let is_local = requires_loopback(&method, &parts);
-    if is_local && !from.ip().is_loopback() {
-        let error = "only the target on this VM may say this, over loopback";
+    let is_target_request = requires_loopback(&method, &segments);
+    if is_target_request && !peer.ip().is_loopback() {
+        let error = "only a target on this VM may make this request, over loopback";
         return error_reply(StatusCode::FORBIDDEN, error);
     }
-    if method != Method::GET && !is_local && !has_token(node, request.headers()) {
-        return error_reply(StatusCode::UNAUTHORIZED, "a valid bearer token is needed");
+    if method != Method::GET && !is_target_request && !has_token(node, request.headers()) {
+        return error_reply(
+            StatusCode::UNAUTHORIZED,
+            "this request requires a valid bearer token",
+        );
     }
     if method == Method::GET {
-        return read(node, &parts, request.uri().query().unwrap_or_default()).await;
+        return handle_read(node, &segments, request.uri().query().unwrap_or_default()).await;
     }
-    write(node, &method, &parts, request).await
+    handle_write(node, &method, &segments, request).await
 }
 
-/// Tells whether a request is one that only the target on this VM may make.
-pub fn requires_loopback(method: &Method, parts: &[&str]) -> bool {
-    parts.starts_with(&["v1", "targets"]) && method != Method::GET
+/// Returns `true` if only a target on this VM may make the request, so that it
+/// must arrive over loopback. Such requests need no token.
+pub fn requires_loopback(method: &Method, segments: &[&str]) -> bool {
+    segments.starts_with(&["v1", "targets"]) && method != Method::GET
 }
 
 fn has_token(node: &NodeHandle, headers: &HeaderMap) -> bool {
@@ -100,15 +108,15 @@
     };
     let given = headers.get(AUTHORIZATION).map(|value| value.as_bytes());
     let expected = format!("Bearer {expected}");
-    // Hashes are compared in constant time, whatever the lengths.
+    // Comparing hashes takes constant time whatever the length of the token.
     given.is_some_and(|given| blake3::hash(given) == blake3::hash(expected.as_bytes()))
 }
 
-async fn read(node: &NodeHandle, parts: &[&str], query: &str) -> Response<NodeBody> {
-    let query = Query::new(query);
-    match parts {
+async fn handle_read(node: &NodeHandle, segments: &[&str], query: &str) -> Response<NodeBody> {
+    let query = QueryParameters::new(query);
+    match segments {
         ["health"] => text_reply(StatusCode::OK, "ok\n".to_owned()),
-        ["ready"] => ready(node),
+        ["ready"] => readiness(node),
         ["metrics"] => text_reply(
             StatusCode::OK,
             node.metrics.encode(node.log.traffic_bytes()),
@@ -121,11 +129,11 @@
             Ok(id) => change_report(node, id),
             Err(error) => error_reply(StatusCode::BAD_REQUEST, format!("change id: {error}")),
         },
-        ["v1", "watch"] => view::watch(node, query.version("from")),
+        ["v1", "watch"] => view::watch(node, query.version_or_zero("from")),
         ["v1", "convergence"] => {
-            let held = node.view.load().config.version;
+            let current = node.view.load().config.version;
             let version = query.get("version").and_then(|text| text.parse().ok());
-            view::convergence(node, version.unwrap_or(held)).await
+            view::convergence(node, version.unwrap_or(current)).await
         }
         ["v1", "explain"] => {
             let host = query.get("host").unwrap_or_default();
@@ -146,10 +154,10 @@
 }
 
 fn not_found() -> Response<NodeBody> {
-    error_reply(StatusCode::NOT_FOUND, "no such path; see docs/API.md")
+    error_reply(StatusCode::NOT_FOUND, "unknown path; see docs/API.md")
 }
 
-fn ready(node: &NodeHandle) -> Response<NodeBody> {
+fn readiness(node: &NodeHandle) -> Response<NodeBody> {
     match node.current_stage() {
         NodeStage::Ready if node.is_isolated() => {
             text_reply(StatusCode::SERVICE_UNAVAILABLE, "Isolated\n".to_owned())
@@ -163,24 +171,24 @@
     match find_report(node, id) {
         Some(report) => json_reply(StatusCode::OK, &report),
         None => {
-            let error = format!("change {id} is not among those that this node remembers");
+            let error = format!("no record of change {id} on this node");
             error_reply(StatusCode::NOT_FOUND, error)
         }
     }
 }
 
-async fn write(
+async fn handle_write(
     node: &NodeHandle,
     method: &Method,
-    parts: &[&str],
+    segments: &[&str],
     request: Request<Incoming>,
 ) -> Response<NodeBody> {
-    let expect = match expectation(request.headers()) {
+    let expect = match parse_precondition(request.headers()) {
         Ok(expect) => expect,
         Err(error) => return error_reply(StatusCode::BAD_REQUEST, error),
     };
-    let query = Query::new(request.uri().query().unwrap_or_default());
-    let is_dry = query.get("dry_run").as_deref() == Some("true");
+    let query = QueryParameters::new(request.uri().query().unwrap_or_default());
+    let is_dry_run = query.get("dry_run").as_deref() == Some("true");
     let body = match Limited::new(request.into_body(), MAX_CHANGE_BYTES)
         .collect()
         .await
@@ -188,19 +196,19 @@
         Ok(body) => body.to_bytes(),
         Err(error) => return error_reply(StatusCode::PAYLOAD_TOO_LARGE, error),
     };
-    match (method, parts) {
-        (&Method::POST, ["v1", "targets"]) => match parse::<TargetAnnouncement>(&body) {
+    match (method, segments) {
+        (&Method::POST, ["v1", "targets"]) => match parse_json::<TargetAnnouncement>(&body) {
             Ok(announcement) => announce(node, &announcement).await,
             Err(error) => error_reply(StatusCode::BAD_REQUEST, error),
         },
         (&Method::DELETE, ["v1", "targets", service]) => withdraw(node, service).await,
-        (&Method::POST, ["v1", "changes"]) => match parse::<RawChange>(&body) {
-            Ok(raw) => change(node, raw, is_dry).await,
+        (&Method::POST, ["v1", "changes"]) => match parse_json::<RawChange>(&body) {
+            Ok(raw) => submit_change(node, raw, is_dry_run).await,
             Err(error) => error_reply(StatusCode::BAD_REQUEST, error),
         },
         (&Method::PUT | &Method::DELETE, ["v1", kind, name]) => {
-            match one_write(method, kind, name, &body, expect) {
-                Ok(raw) => change(node, raw, is_dry).await,
+            match single_operation_change(method, kind, name, &body, expect) {
+                Ok(raw) => submit_change(node, raw, is_dry_run).await,
                 Err(error) => error_reply(StatusCode::BAD_REQUEST, error),
             }
         }
@@ -208,20 +216,20 @@
     }
 }
 
-fn parse<T>(body: &Bytes) -> Result<T, String>
+fn parse_json<T>(body: &Bytes) -> Result<T, String>
 where
     T: DeserializeOwned,
 {
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
 
-/// Reads `If-Match: "revision"` and `If-None-Match: *`.
-fn expectation(headers: &HeaderMap) -> Result<Option<RawExpectation>, String> {
+/// Parses `If-Match: "revision"` and `If-None-Match: *` into a precondition.
+fn parse_precondition(headers: &HeaderMap) -> Result<Option<RawExpectation>, String> {
     if let Some(tag) = headers.get(IF_MATCH) {
         let text = tag.to_str().unwrap_or_default().trim_matches('"');
         let revision = text
             .parse()
-            .map_err(|_| "If-Match must be one revision in quotes".to_owned())?;
+            .map_err(|_| "If-Match must be a single quoted revision".to_owned())?;
         return Ok(Some(RawExpectation::Revision(revision)));
     }
     match headers.get(IF_NONE_MATCH).map(|tag| tag.as_bytes()) {
@@ -231,8 +239,9 @@
     }
 }
 
-/// Makes a batch of one out of a write of one resource.
-fn one_write(
+/// Builds a change with a single operation from a `PUT` or `DELETE` of one
+/// resource.
+fn single_operation_change(
     method: &Method,
     kind: &str,
     name: &str,
@@ -242,10 +251,10 @@
     let kind: ResourceKind = kind.parse()?;
     let key = ResourceKey::new(kind, name);
     let operation = if method == Method::PUT {
-        let resource: Resource = parse(body)?;
+        let resource: Resource = parse_json(body)?;
         if resource.key() != key {
             return Err(format!(
-                "the body is {}, the path says {key}",
+                "the body describes {}, but the path names {key}",
                 resource.key()
             ));
         }
@@ -268,12 +277,12 @@
     })
 }
 
-async fn change(node: &NodeHandle, raw: RawChange, is_dry: bool) -> Response<NodeBody> {
+async fn submit_change(node: &NodeHandle, raw: RawChange, is_dry_run: bool) -> Response<NodeBody> {
     let change = match Change::try_from(raw) {
         Ok(change) => change,
         Err(error) => return error_reply(StatusCode::BAD_REQUEST, error),
     };
-    if is_dry {
+    if is_dry_run {
         let preview = wisteriaturn::clock::lock(&node.store)
             .state()
             .preview(&change);
@@ -318,15 +327,15 @@
     } else {
         error_reply(
             StatusCode::NOT_FOUND,
-            format!("no target of service/{service} here"),
+            format!("no target of service/{service} is announced on this node"),
         )
     }
 }
 
-/// The parameters of a query, percent-decoded.
-struct Query(HashMap<String, String>);
+/// Percent-decoded query parameters; the last of several equal keys wins.
+struct QueryParameters(HashMap<String, String>);
 
-impl Query {
+impl QueryParameters {
     fn new(text: &str) -> Self {
         let pairs = form_urlencoded::parse(text.as_bytes()).into_owned();
         Self(pairs.collect())
@@ -336,7 +345,7 @@
         self.0.get(key).cloned()
     }
 
-    fn version(&self, key: &str) -> ConfigVersion {
+    fn version_or_zero(&self, key: &str) -> ConfigVersion {
         let parsed = self.0.get(key).and_then(|text| text.parse().ok());
         parsed.unwrap_or_default()
     }
--- a/wisteriaturnd/src/admin/view.rs
+++ b/wisteriaturnd/src/admin/view.rs
@@ -1,5 +1,5 @@
-//! Reads of the admin port: what is in force, where, and why a call would go
-//! where it would.
+//! Read requests of the admin port: the configuration in force, members,
+//! targets, convergence across the mesh, and how a call would be routed.
 
 use std::time::Duration;
 
@@ -26,28 +26,29 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
-/// Time for another data centre to say who holds a version.
-const HOLDERS_TIME: Duration = Duration::from_secs(2);
+/// How long a relay of another data centre may take to report which of its nodes
+/// hold a version.
+const HOLDERS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Who holds a version, over all data centres.
+/// Which nodes of the mesh hold a version, over all data centres.
 #[derive(Debug, Serialize)]
 struct ConvergenceReport {
     version: ConfigVersion,
     converged: bool,
     holders: u32,
     laggards: Vec<NodeAddress>,
-    data_centres: Vec<PlaceReport>,
+    data_centres: Vec<DataCentreReport>,
 }
 
 #[derive(Debug, Serialize)]
-struct PlaceReport {
+struct DataCentreReport {
     data_centre: DataCentre,
     reached: bool,
     holders: u32,
     laggards: Vec<NodeAddress>,
 }
 
-/// Returns the state of this node.
+/// Returns a summary of the state of this node.
 pub fn status(node: &NodeState) -> Response<NodeBody> {
     let view = node.view.load();
     let (members, live) = {
@@ -71,7 +72,7 @@
     json_reply(StatusCode::OK, &report)
 }
 
-/// Returns all resources in force.
+/// Returns the resources in force, all or those of one kind.
 pub fn resources(node: &NodeState, kind: Option<&str>) -> Response<NodeBody> {
     let view = node.view.load();
     let resources: Vec<Value> = view
@@ -79,25 +80,25 @@
         .resources
         .iter()
         .filter(|(key, _)| kind.is_none_or(|kind| key.kind.to_string() == kind))
-        .map(|(_, held)| json!({ "revision": held.revision, "resource": held.resource }))
+        .map(|(_, entry)| json!({ "revision": entry.revision, "resource": entry.resource }))
         .collect();
     let reply = json!({ "version": view.config.version, "resources": resources });
     json_reply(StatusCode::OK, &reply)
 }
 
-/// Returns one resource in force.
+/// Returns one resource in force, with its revision as the `ETag`.
 pub fn resource(node: &NodeState, key: &ResourceKey) -> Response<NodeBody> {
     let view = node.view.load();
     match view.config.resources.get(key) {
-        Some(held) => {
-            let reply = json!({ "revision": held.revision, "resource": held.resource });
-            json_reply_with_etag(held.revision, &reply)
+        Some(entry) => {
+            let reply = json!({ "revision": entry.revision, "resource": entry.resource });
+            json_reply_with_etag(entry.revision, &reply)
         }
         None => error_reply(StatusCode::NOT_FOUND, format!("{key} does not exist")),
     }
 }
 
-/// Returns the members as this node knows them.
+/// Returns the member table of this node.
 pub fn members(node: &NodeState) -> Response<NodeBody> {
     let table = lock(&node.table);
     let members: Vec<Value> = table
@@ -119,7 +120,7 @@
     json_reply(StatusCode::OK, &members)
 }
 
-/// Returns the targets of each service in force.
+/// Returns the known targets of each configured service.
 pub fn targets(node: &NodeState) -> Response<NodeBody> {
     let view = node.view.load();
     let now = node.clock.now();
@@ -147,10 +148,11 @@
     json_reply(StatusCode::OK, &services)
 }
 
-/// Says which target a call would take now, and why not the others.
+/// Returns which target a call would be sent to now, and the verdict on every
+/// other candidate.
 pub fn explain(node: &NodeState, host: &str, path: &str, method: &str) -> Response<NodeBody> {
     let Ok(method) = method.parse::<Method>() else {
-        let error = format!("method = {method:?} is not a method");
+        let error = format!("method = {method:?} is not a valid HTTP method");
         return error_reply(StatusCode::BAD_REQUEST, error);
     };
     let view = node.view.load();
@@ -164,7 +166,8 @@
         .map(|(service, weight)| {
             let name = &service.spec.name;
             let targets = view.targets(name);
-            // A copy, so that asking does not move the reach of real calls.
+            // Works on a copy, so that the query does not change the reach that
+            // real calls use.
             let mut load = lock(&node.load.service(name)).clone();
             let choice = choose_target(
                 &node.place,
@@ -197,34 +200,36 @@
         .unwrap_or_else(|| method.is_idempotent())
 }
 
-/// Asks all data centres who holds a version.
+/// Returns which nodes hold a version, after querying a relay of every other
+/// data centre. The nodes of a data centre that does not respond count as
+/// laggards.
 pub async fn convergence(node: &NodeHandle, version: ConfigVersion) -> Response<NodeBody> {
-    let mut asked = tokio::task::JoinSet::new();
-    for (place, relays) in node.far_relays() {
+    let mut queries = tokio::task::JoinSet::new();
+    for (data_centre, relays) in node.far_relays() {
         let node = node.clone();
-        asked.spawn(async move { ask_place(&node, place, relays, version).await });
+        queries.spawn(async move { query_data_centre(&node, data_centre, relays, version).await });
     }
-    let mut places = vec![reached(holders(node, version).await)];
-    while let Some(Ok(place)) = asked.join_next().await {
-        places.push(place);
+    let mut reports = vec![reached_report(holders(node, version).await)];
+    while let Some(Ok(report)) = queries.join_next().await {
+        reports.push(report);
     }
-    places.sort_by(|one, other| one.data_centre.cmp(&other.data_centre));
-    let laggards: Vec<NodeAddress> = places
+    reports.sort_by(|a, b| a.data_centre.cmp(&b.data_centre));
+    let laggards: Vec<NodeAddress> = reports
         .iter()
-        .flat_map(|place| place.laggards.iter().copied())
+        .flat_map(|report| report.laggards.iter().copied())
         .collect();
     let report = ConvergenceReport {
         version,
-        converged: laggards.is_empty() && places.iter().all(|place| place.reached),
-        holders: places.iter().map(|place| place.holders).sum(),
+        converged: laggards.is_empty() && reports.iter().all(|report| report.reached),
+        holders: reports.iter().map(|report| report.holders).sum(),
         laggards,
-        data_centres: places,
+        data_centres: reports,
     };
     json_reply(StatusCode::OK, &report)
 }
 
-fn reached(report: HolderReport) -> PlaceReport {
-    PlaceReport {
+fn reached_report(report: HolderReport) -> DataCentreReport {
+    DataCentreReport {
         data_centre: report.data_centre,
         reached: true,
         holders: report.holders,
@@ -232,62 +237,66 @@
     }
 }
 
-async fn ask_place(
+async fn query_data_centre(
     node: &NodeHandle,
-    place: DataCentre,
+    data_centre: DataCentre,
     relays: Vec<NodeAddress>,
     version: ConfigVersion,
-) -> PlaceReport {
+) -> DataCentreReport {
     for relay in relays {
         let request = PeerRequest::Holders { version };
-        let asked = peer_client::request(node, relay, &request, TrafficKind::Convergence);
-        if let Ok(Ok(PeerAnswer::Holders(report))) = timeout(HOLDERS_TIME, asked).await {
-            return reached(report);
+        let response = peer_client::request(node, relay, &request, TrafficKind::Convergence);
+        if let Ok(Ok(PeerAnswer::Holders(report))) = timeout(HOLDERS_TIMEOUT, response).await {
+            return reached_report(report);
         }
     }
-    let members = lock(&node.table)
-        .live_in(&place)
+    let live_nodes = lock(&node.table)
+        .live_in(&data_centre)
         .map(|record| record.address)
         .collect();
-    PlaceReport {
-        data_centre: place,
+    DataCentreReport {
+        data_centre,
         reached: false,
         holders: 0,
-        laggards: members,
+        laggards: live_nodes,
     }
 }
 
-/// Streams what becomes of changes after a version, a line of JSON each.
+/// Streams the outcomes of the changes after version `from` that this node still
+/// remembers, one line of JSON each. An `in_force` line with the version reached
+/// follows each batch.
 pub fn watch(node: &NodeHandle, from: ConfigVersion) -> Response<NodeBody> {
     let receiver = node.version.subscribe();
     let state = (node.clone(), receiver, from);
-    let lines = stream::unfold(state, |(node, mut receiver, seen)| async move {
-        let version = *receiver.wait_for(|version| *version > seen).await.ok()?;
-        let text = lines_after(&node, seen, version);
+    let lines = stream::unfold(state, |(node, mut receiver, after)| async move {
+        let version = *receiver.wait_for(|version| *version > after).await.ok()?;
+        let text = change_lines(&node, after, version);
         let frame = Ok::<_, BodyError>(Frame::data(Bytes::from(text)));
         Some((frame, (node, receiver, version)))
     });
     let mut response = Response::new(boxed(StreamBody::new(lines)));
-    let kind = hyper::header::HeaderValue::from_static("application/x-ndjson");
+    let content_type = hyper::header::HeaderValue::from_static("application/x-ndjson");
     response
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
+        .insert(hyper::header::CONTENT_TYPE, content_type);
     response
 }
 
-fn lines_after(node: &NodeState, seen: ConfigVersion, upto: ConfigVersion) -> String {
-    let recent = lock(&node.store).state().recent();
+/// Returns the JSON lines for the changes after version `after` up to and
+/// including `last`.
+fn change_lines(node: &NodeState, after: ConfigVersion, last: ConfigVersion) -> String {
+    let verdicts = lock(&node.store).state().recent();
     let mut text = String::new();
-    for (id, version, _) in recent {
-        if version > seen
-            && version <= upto
+    for (id, version, _) in verdicts {
+        if version > after
+            && version <= last
             && let Some(report) = find_report(node, id)
         {
             text.push_str(&serde_json::to_string(&report).unwrap_or_default());
             text.push('\n');
         }
     }
-    text.push_str(&json!({ "in_force": upto }).to_string());
+    text.push_str(&json!({ "in_force": last }).to_string());
     text.push('\n');
     text
 }
