--- a/wisteriaturnd/src/settings/mod.rs
+++ b/wisteriaturnd/src/settings/mod.rs
@@ -1,9 +1,10 @@
 //! The settings of a node, read from a TOML file.
 //!
-//! Reading takes two steps: [`raw::RawSettings`] has the shape of the file, and
-//! `TryFrom` turns it into [`NodeSettings`], in which every value was checked.
-//! An unknown key is an error, since a misspelt one would silently leave a
-//! default in force. [docs/SETTINGS.md](../../../docs/SETTINGS.md) lists all keys.
+//! Settings are read in two steps: [`raw::RawSettings`] mirrors the file, and
+//! `TryFrom` converts it into [`NodeSettings`], whose values are all validated.
+//! An unknown key is an error: if it were ignored, a misspelt key would
+//! silently leave the default in force.
+//! [docs/SETTINGS.md](../../../docs/SETTINGS.md) lists all keys.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -21,90 +22,96 @@
 
 pub mod raw;
 
-/// Shortest secret from which a mesh key is derived, in bytes.
+/// Minimum length of a mesh secret, in bytes.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// Checked settings.
+/// Validated settings of a node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// Region of the VM.
+    /// Region in which the VM runs.
     pub region: RegionName,
-    /// Data centre of the VM.
+    /// Data centre in which the VM runs.
     pub data_centre: DataCentre,
-    /// What the VM's link carries.
+    /// Bandwidth of the VM's network link.
     pub link: LinkRate,
-    /// Where callers connect.
+    /// Listen address for calls from callers.
     pub ingress: SocketAddr,
-    /// Where operators, targets and metrics readers connect.
+    /// Listen address for operators, targets and metrics scrapers.
     pub admin: SocketAddr,
-    /// Where other nodes send calls.
+    /// Listen address for calls forwarded by other nodes.
     pub hop: SocketAddr,
-    /// Where other nodes send messages.
+    /// Listen address for messages of other nodes, UDP and TCP.
     pub peer: SocketAddr,
-    /// Some other nodes.
+    /// Peer addresses of some other nodes, used to join the mesh.
     pub seeds: Vec<SocketAddr>,
-    /// Keys of the mesh.
+    /// Keys that authenticate messages between nodes, derived from the mesh
+    /// secrets.
     pub keys: MeshKeys,
-    /// Token for writes.
+    /// Bearer token that writes to the resource API require; none is required if
+    /// absent.
     pub admin_token: Option<String>,
     /// Address of the log service.
     pub log_address: SocketAddr,
-    /// Data centre of the log service.
+    /// Data centre in which the log service runs.
     pub log_data_centre: Option<DataCentre>,
-    /// Service that runs on this VM.
+    /// Service that runs on this VM; targets are told which service called.
     pub caller_service: Option<ServiceName>,
-    /// Retries that all nodes together may add for one service.
+    /// Limit on the retries that all nodes together may add for one service.
     pub retry: Option<RetryLimit>,
-    /// Settings of the program that the node is part of.
+    /// Settings of the program that embeds the node.
     pub extension: toml::Table,
-    /// Times and bounds.
+    /// Timeouts, intervals and limits.
     pub tuning: NodeTuning,
-    /// Level of the log lines.
+    /// Lowest severity that is logged.
     pub log_level: LevelFilter,
-    /// Whether a broken invariant ends the process.
+    /// Whether a violated invariant terminates the process.
     pub strict: bool,
 }
 
-/// Checked times and bounds.
+/// Validated timeouts, intervals and limits.
 #[derive(Debug, Clone)]
 pub struct NodeTuning {
-    /// Time between two probes.
+    /// Interval between two failure-detection probes.
     pub probe_interval: Duration,
-    /// Time for the answer to a probe.
+    /// How long to wait for the acknowledgement of a probe.
     pub probe_timeout: Duration,
-    /// Time that a suspect has to refute.
+    /// How long a suspect member has to refute the suspicion before it is
+    /// declared dead.
     pub suspect_timeout: Duration,
-    /// Nodes to which news is pushed.
+    /// Number of peers to which an update is gossiped at once.
     pub fanout: usize,
-    /// Time that a planned stop waits for calls in flight.
+    /// How long a graceful shutdown waits for calls in flight.
     pub drain_timeout: Duration,
-    /// Time in which a stopping node still takes callers, so that they hear
-    /// that it is not ready before its port closes.
+    /// How long a stopping node still accepts calls while it reports that it is
+    /// not ready, so that callers switch to other nodes before its port closes.
     pub lame_duck: Duration,
-    /// Time without progress after which a body is given up.
+    /// How long a body may make no progress before its transfer is aborted.
     pub stall_timeout: Duration,
-    /// Time that an announcement of a target lasts.
+    /// How long a target announcement is valid unless it is renewed.
     pub announce_ttl: Duration,
-    /// Connections from callers that are open at once.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Bytes of a request body kept so that it can be sent again.
+    /// Maximum number of bytes of a request body that are buffered so that the
+    /// request can be retried.
     pub replay_bytes: usize,
-    /// Bytes of one request body at most.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
     /// How long an idempotency key is remembered.
     pub key_lifetime: Duration,
-    /// Least time between two appends of claims to one stream.
+    /// Minimum interval between two appends of claims to one stream.
     pub claim_interval: Duration,
-    /// Records after which a relay writes a snapshot.
+    /// Number of records after which a relay writes a snapshot.
     pub snapshot_every: u64,
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] names the key, the value and what is allowed.
+    /// Returns a [`SettingsError`] if the file cannot be read or parsed, or if
+    /// a value is not allowed; it then names the key, the value and what is
+    /// allowed.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Unreadable(format!("{}: {error}", path.display())))?;
@@ -128,58 +135,64 @@
     fn try_from(raw: RawSettings) -> Result<Self, SettingsError> {
         let mut seeds = Vec::with_capacity(raw.seeds.len());
         for seed in &raw.seeds {
-            seeds.push(address("seeds", seed)?);
+            seeds.push(parse_address("seeds", seed)?);
         }
         let tuning = NodeTuning::try_from(&raw.tuning)?;
         check_retention(&raw.log, &tuning)?;
         let settings = Self {
-            region: parsed("region", &raw.region, "a name")?,
-            data_centre: parsed("data_centre", &raw.data_centre, "a name")?,
-            link: link_rate(raw.link_mbps)?,
-            ingress: address("listen.ingress", &raw.listen.ingress)?,
-            admin: address("listen.admin", &raw.listen.admin)?,
-            hop: address("listen.hop", &raw.listen.hop)?,
-            peer: address("listen.peer", &raw.listen.peer)?,
+            region: parse_value("region", &raw.region, "a name")?,
+            data_centre: parse_value("data_centre", &raw.data_centre, "a name")?,
+            link: parse_link_rate(raw.link_mbps)?,
+            ingress: parse_address("listen.ingress", &raw.listen.ingress)?,
+            admin: parse_address("listen.admin", &raw.listen.admin)?,
+            hop: parse_address("listen.hop", &raw.listen.hop)?,
+            peer: parse_address("listen.peer", &raw.listen.peer)?,
             seeds,
-            keys: mesh_keys(&raw.mesh_secrets)?,
+            keys: derive_mesh_keys(&raw.mesh_secrets)?,
             admin_token: raw.admin_token,
-            log_address: address("log.address", &raw.log.address)?,
+            log_address: parse_address("log.address", &raw.log.address)?,
             log_data_centre: match &raw.log.data_centre {
-                Some(name) => Some(parsed("log.data_centre", name, "a name")?),
+                Some(name) => Some(parse_value("log.data_centre", name, "a name")?),
                 None => None,
             },
             caller_service: match &raw.caller_service {
-                Some(name) => Some(parsed("caller_service", name, "a name")?),
+                Some(name) => Some(parse_value("caller_service", name, "a name")?),
                 None => None,
             },
             retry: match &raw.retry {
-                Some(retry) => Some(retry_limit(retry)?),
+                Some(retry) => Some(parse_retry_limit(retry)?),
                 None => None,
             },
             extension: raw.extension,
             tuning,
             log_level: match &raw.log_level {
-                Some(level) => parsed("log_level", level, "off, error, warn, info, debug, trace")?,
+                Some(level) => {
+                    parse_value("log_level", level, "off, error, warn, info, debug, trace")?
+                }
                 None => LevelFilter::Info,
             },
             strict: raw.strict,
         };
-        settings.check_distinct()?;
+        settings.check_listen_addresses()?;
         Ok(settings)
     }
 }
 
 impl NodeSettings {
-    fn check_distinct(&self) -> Result<(), SettingsError> {
-        // The peer port uses UDP and TCP, so all four must differ.
-        let listens = [
+    fn check_listen_addresses(&self) -> Result<(), SettingsError> {
+        // All four ports accept TCP connections (the peer port uses UDP as
+        // well), so no two may share an address.
+        let listen_addresses = [
             ("listen.ingress", self.ingress),
             ("listen.admin", self.admin),
             ("listen.hop", self.hop),
             ("listen.peer", self.peer),
         ];
-        for (index, (key, value)) in listens.iter().enumerate() {
-            if listens[..index].iter().any(|(_, other)| other == value) {
+        for (index, (key, value)) in listen_addresses.iter().enumerate() {
+            if listen_addresses[..index]
+                .iter()
+                .any(|(_, other)| other == value)
+            {
                 return Err(not_allowed(key, value, "an address of its own"));
             }
             if value.ip().is_unspecified() && matches!(*key, "listen.hop" | "listen.peer") {
@@ -198,97 +211,97 @@
     type Error = SettingsError;
 
     fn try_from(raw: &RawTuning) -> Result<Self, SettingsError> {
-        let ms = Duration::from_millis;
-        let s = Duration::from_secs;
-        let probe = number(
+        let millis = Duration::from_millis;
+        let secs = Duration::from_secs;
+        let probe_interval = validate_number(
             "tuning.probe_interval_ms",
             raw.probe_interval_ms,
             1_000,
             50..=60_000,
         )?;
-        let timeout = number(
+        let probe_timeout = validate_number(
             "tuning.probe_timeout_ms",
             raw.probe_timeout_ms,
             300,
             10..=10_000,
         )?;
-        let suspect = number(
+        let suspect_timeout = validate_number(
             "tuning.suspect_timeout_ms",
             raw.suspect_timeout_ms,
             4_000,
             100..=120_000,
         )?;
-        let fanout = number("tuning.fanout", raw.fanout, 4, 1..=16)?;
-        let drain = number(
+        let fanout = validate_number("tuning.fanout", raw.fanout, 4, 1..=16)?;
+        let drain_timeout = validate_number(
             "tuning.drain_timeout_ms",
             raw.drain_timeout_ms,
             60_000,
             0..=3_600_000,
         )?;
-        let lame_duck = number("tuning.lame_duck_ms", raw.lame_duck_ms, 0, 0..=600_000)?;
-        let stall = number(
+        let lame_duck = validate_number("tuning.lame_duck_ms", raw.lame_duck_ms, 0, 0..=600_000)?;
+        let stall_timeout = validate_number(
             "tuning.stall_timeout_ms",
             raw.stall_timeout_ms,
             30_000,
             100..=3_600_000,
         )?;
-        let ttl = number(
+        let announce_ttl = validate_number(
             "tuning.announce_ttl_ms",
             raw.announce_ttl_ms,
             10_000,
             500..=600_000,
         )?;
-        let connections = number(
+        let max_connections = validate_number(
             "tuning.max_connections",
             raw.max_connections,
             4_096,
             1..=1_000_000,
         )?;
-        let replay = number(
+        let replay_bytes = validate_number(
             "tuning.replay_bytes",
             raw.replay_bytes,
             65_536,
             0..=16_777_216,
         )?;
-        let body = number(
+        let max_body_bytes = validate_number(
             "tuning.max_body_bytes",
             raw.max_body_bytes,
             1 << 32,
             1..=1_u64 << 50,
         )?;
-        let lifetime = number(
+        let key_lifetime = validate_number(
             "tuning.key_lifetime_s",
             raw.key_lifetime_s,
             900,
             10..=86_400,
         )?;
-        let claim = number(
+        let claim_interval = validate_number(
             "tuning.claim_interval_ms",
             raw.claim_interval_ms,
             20,
             0..=1_000,
         )?;
-        let snapshot = number(
+        let snapshot_every = validate_number(
             "tuning.snapshot_every",
             raw.snapshot_every,
             500,
             1..=1_000_000,
         )?;
         Ok(Self {
-            probe_interval: ms(probe),
-            probe_timeout: ms(timeout),
-            suspect_timeout: ms(suspect),
+            probe_interval: millis(probe_interval),
+            probe_timeout: millis(probe_timeout),
+            suspect_timeout: millis(suspect_timeout),
             fanout: fanout as usize,
-            drain_timeout: ms(drain),
-            lame_duck: ms(lame_duck),
-            stall_timeout: ms(stall),
-            announce_ttl: ms(ttl),
-            max_connections: connections as usize,
-            replay_bytes: replay as usize,
-            max_body_bytes: body,
-            key_lifetime: s(lifetime),
-            claim_interval: ms(claim),
-            snapshot_every: snapshot,
+            drain_timeout: millis(drain_timeout),
+            lame_duck: millis(lame_duck),
+            stall_timeout: millis(stall_timeout),
+            announce_ttl: millis(announce_ttl),
+            max_connections: max_connections as usize,
+            replay_bytes: replay_bytes as usize,
+            max_body_bytes,
+            key_lifetime: secs(key_lifetime),
+            claim_interval: millis(claim_interval),
+            snapshot_every,
         })
     }
 }
@@ -304,7 +317,7 @@
     }
 }
 
-fn parsed<T>(key: &'static str, value: &str, allowed: &str) -> Result<T, SettingsError>
+fn parse_value<T>(key: &'static str, value: &str, allowed: &str) -> Result<T, SettingsError>
 where
     T: FromStr,
     T::Err: std::fmt::Display,
@@ -314,15 +327,16 @@
         .map_err(|error: T::Err| not_allowed(key, value, &format!("{allowed} ({error})")))
 }
 
-fn address(key: &'static str, value: &str) -> Result<SocketAddr, SettingsError> {
-    let address: SocketAddr = parsed(key, value, "an IP address and port such as 127.0.0.1:7000")?;
+fn parse_address(key: &'static str, value: &str) -> Result<SocketAddr, SettingsError> {
+    let address: SocketAddr =
+        parse_value(key, value, "an IP address and port such as 127.0.0.1:7000")?;
     if address.port() == 0 {
         return Err(not_allowed(key, value, "a port from 1 to 65535"));
     }
     Ok(address)
 }
 
-fn number(
+fn validate_number(
     key: &'static str,
     value: Option<u64>,
     default: u64,
@@ -336,20 +350,20 @@
     Ok(value)
 }
 
-/// Widest link that a setting may name, in Mbit/s.
-const WIDEST_LINK: f64 = 1e6;
+/// Maximum link bandwidth, in Mbit/s.
+const MAX_LINK_MBPS: f64 = 1e6;
 
-fn link_rate(mbps: Option<f64>) -> Result<LinkRate, SettingsError> {
+fn parse_link_rate(mbps: Option<f64>) -> Result<LinkRate, SettingsError> {
     let Some(mbps) = mbps else {
         return Ok(LinkRate::default());
     };
-    if !(0.001..=WIDEST_LINK).contains(&mbps) {
+    if !(0.001..=MAX_LINK_MBPS).contains(&mbps) {
         return Err(not_allowed("link_mbps", mbps, "0.001 to 1000000"));
     }
     Ok(LinkRate((mbps * 1_000.0).round() as u32))
 }
 
-fn retry_limit(raw: &RawRetry) -> Result<RetryLimit, SettingsError> {
+fn parse_retry_limit(raw: &RawRetry) -> Result<RetryLimit, SettingsError> {
     if !(0.0..=1.0).contains(&raw.ratio) {
         return Err(not_allowed("retry.ratio", raw.ratio, "0 to 1"));
     }
@@ -358,7 +372,13 @@
     }
     let window = parse_duration(&raw.window)
         .filter(|window| !window.is_zero())
-        .ok_or_else(|| not_allowed("retry.window", &raw.window, "a time such as 10s or 1500ms"))?;
+        .ok_or_else(|| {
+            not_allowed(
+                "retry.window",
+                &raw.window,
+                "a duration such as 10s or 1500ms",
+            )
+        })?;
     Ok(RetryLimit {
         ratio: raw.ratio,
         slack: raw.slack,
@@ -366,10 +386,11 @@
     })
 }
 
-/// Longest time that a setting may name.
-const LONGEST_TIME: Duration = Duration::from_secs(30 * 24 * 3600);
+/// Longest duration that [`parse_duration`] accepts.
+const MAX_DURATION: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// Reads a time with its unit, such as `1500ms` or `2.5s`.
+/// Parses a duration with its unit, such as `1500ms` or `2.5s`. Returns `None`
+/// if it is malformed, negative or longer than 30 days.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
@@ -378,21 +399,21 @@
     let seconds = number.parse::<f64>().ok()? * unit;
     Duration::try_from_secs_f64(seconds)
         .ok()
-        .filter(|time| *time <= LONGEST_TIME)
+        .filter(|duration| *duration <= MAX_DURATION)
 }
 
-fn mesh_keys(secrets: &[String]) -> Result<MeshKeys, SettingsError> {
-    let is_good = (1..=2).contains(&secrets.len())
+fn derive_mesh_keys(secrets: &[String]) -> Result<MeshKeys, SettingsError> {
+    let is_valid = (1..=2).contains(&secrets.len())
         && secrets
             .iter()
             .all(|secret| secret.len() >= MIN_SECRET_BYTES);
-    if !is_good {
-        // The secrets themselves stay out of the message.
+    if !is_valid {
+        // The error message must not reveal the secrets.
         let value = format!("{} secret(s)", secrets.len());
         return Err(not_allowed(
             "mesh_secrets",
             value,
-            "one or two of 16 or more bytes",
+            "one or two secrets of at least 16 bytes each",
         ));
     }
     Ok(MeshKeys::derive(secrets.iter().map(String::as_str)))
@@ -402,7 +423,8 @@
     let Some(retention) = log.retention_s else {
         return Ok(());
     };
-    // Twice the lifetime: a reader may start late and writers' clocks differ.
+    // The margin of a whole lifetime covers readers that start late and
+    // differences between the writers' clocks.
     if Duration::from_secs(retention) < tuning.key_lifetime * 2 {
         let allowed = "at least twice tuning.key_lifetime_s";
         return Err(not_allowed("log.retention_s", retention, allowed));
--- a/wisteriaturnd/src/settings/raw.rs
+++ b/wisteriaturnd/src/settings/raw.rs
@@ -1,16 +1,16 @@
-//! The settings file as written, before its values are checked.
+//! The settings file as written, before its values are validated.
 
 use serde::Deserialize;
 
-/// The settings file as written.
+/// The top level of the settings file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSettings {
-    /// Region of the VM.
+    /// Region in which the VM runs.
     pub region: String,
-    /// Data centre of the VM.
+    /// Data centre in which the VM runs.
     pub data_centre: String,
-    /// What the VM's link carries, in Mbit/s.
+    /// Bandwidth of the VM's network link, in Mbit/s.
     #[serde(default)]
     pub link_mbps: Option<f64>,
     /// Addresses that the node listens on.
@@ -18,103 +18,113 @@
     /// Peer addresses of some other nodes.
     #[serde(default)]
     pub seeds: Vec<String>,
-    /// Secrets of the mesh; the first signs.
+    /// Mesh secrets. Messages are signed with the first and accepted with any,
+    /// so that a secret can be replaced without downtime.
     pub mesh_secrets: Vec<String>,
-    /// Token that writes through the resource API must bear.
+    /// Bearer token that writes to the resource API require.
     #[serde(default)]
     pub admin_token: Option<String>,
-    /// The platform's log.
+    /// The log service of the platform.
     pub log: RawLog,
     /// Service that runs on this VM; targets are told which service called.
     #[serde(default)]
     pub caller_service: Option<String>,
-    /// Retries that all nodes together may add.
+    /// Limit on the retries that all nodes together may add.
     #[serde(default)]
     pub retry: Option<RawRetry>,
-    /// Settings of the program that the node is part of, which checks them.
+    /// Settings of the program that embeds the node; that program validates
+    /// them.
     #[serde(default)]
     pub extension: toml::Table,
-    /// Times and bounds.
+    /// Timeouts, intervals and limits.
     #[serde(default)]
     pub tuning: RawTuning,
-    /// Level of the log lines.
+    /// Lowest severity that is logged.
     #[serde(default)]
     pub log_level: Option<String>,
-    /// Whether a broken invariant ends the process.
+    /// Whether a violated invariant terminates the process.
     #[serde(default)]
     pub strict: bool,
 }
 
-/// Addresses as written.
+/// The `[listen]` table.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawListen {
-    /// Where callers connect.
+    /// Listen address for calls from callers.
     pub ingress: String,
-    /// Where operators, targets and metrics readers connect.
+    /// Listen address for operators, targets and metrics scrapers.
     pub admin: String,
-    /// Where other nodes send calls.
+    /// Listen address for calls forwarded by other nodes.
     pub hop: String,
-    /// Where other nodes send messages, UDP and TCP.
+    /// Listen address for messages of other nodes, UDP and TCP.
     pub peer: String,
 }
 
-/// The shared limit of retries as written.
+/// The `[retry]` table: a limit on retries that all nodes share.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawRetry {
-    /// Retries as a share of the calls.
+    /// Maximum ratio of retries to calls, from 0 to 1.
     pub ratio: f64,
-    /// Retries in one window at any rate of calls.
+    /// Number of retries that are allowed per window whatever the number of
+    /// calls.
     pub slack: f64,
-    /// The window, such as `10s` or `1500ms`.
+    /// Length of the window over which calls and retries are counted, such as
+    /// `10s` or `1500ms`.
     pub window: String,
 }
 
-/// The log as written.
+/// The `[log]` table.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawLog {
     /// Address of the log service.
     pub address: String,
-    /// Data centre in which it stands.
+    /// Data centre in which the log service runs.
     #[serde(default)]
     pub data_centre: Option<String>,
-    /// How long it keeps records, in seconds.
+    /// How long the log service retains records, in seconds.
     #[serde(default)]
     pub retention_s: Option<u64>,
 }
 
-/// Times and bounds as written; all are optional.
+/// The `[tuning]` table; every key is optional.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RawTuning {
-    /// Time between two probes, in milliseconds.
+    /// Interval between two failure-detection probes, in milliseconds.
     pub probe_interval_ms: Option<u64>,
-    /// Time for the answer to a probe, in milliseconds.
+    /// How long to wait for the acknowledgement of a probe, in milliseconds.
     pub probe_timeout_ms: Option<u64>,
-    /// Time that a suspect has to refute, in milliseconds.
+    /// How long a suspect member has to refute the suspicion before it is
+    /// declared dead, in milliseconds.
     pub suspect_timeout_ms: Option<u64>,
-    /// Nodes to which news is pushed.
+    /// Number of peers to which an update is gossiped at once.
     pub fanout: Option<u64>,
-    /// Time that a planned stop waits for calls in flight, in milliseconds.
+    /// How long a graceful shutdown waits for calls in flight, in milliseconds.
     pub drain_timeout_ms: Option<u64>,
-    /// Time in which a stopping node still takes callers, in milliseconds.
+    /// How long a stopping node still accepts calls while it reports that it is
+    /// not ready, in milliseconds.
     pub lame_duck_ms: Option<u64>,
-    /// Time without progress after which a body is given up, in milliseconds.
+    /// How long a body may make no progress before its transfer is aborted, in
+    /// milliseconds.
     pub stall_timeout_ms: Option<u64>,
-    /// Time that an announcement of a target lasts, in milliseconds.
+    /// How long a target announcement is valid unless it is renewed, in
+    /// milliseconds.
     pub announce_ttl_ms: Option<u64>,
-    /// Connections from callers that are open at once.
+    /// Maximum number of open connections from callers.
     pub max_connections: Option<u64>,
-    /// Bytes of a request body kept so that it can be sent again.
+    /// Maximum number of bytes of a request body that are buffered so that the
+    /// request can be retried.
     pub replay_bytes: Option<u64>,
-    /// Bytes of one request body at most.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: Option<u64>,
     /// How long an idempotency key is remembered, in seconds.
     pub key_lifetime_s: Option<u64>,
-    /// Least time between two appends of claims to one stream, in milliseconds.
+    /// Minimum interval between two appends of claims to one stream, in
+    /// milliseconds.
     pub claim_interval_ms: Option<u64>,
-    /// Records after which a relay writes a snapshot.
+    /// Number of records after which a relay writes a snapshot.
     pub snapshot_every: Option<u64>,
 }
