--- a/wisteriaturnd/src/stream/client.rs
+++ b/wisteriaturnd/src/stream/client.rs
@@ -1,7 +1,8 @@
-//! One exchange with a log service over HTTP, whatever its protocol says.
+//! An HTTP client for log services, independent of the protocol on top of it.
 //!
-//! The one thing that every such protocol needs is to know whether a request
-//! that failed was sent: a write that was not sent can be made again.
+//! What every such protocol has to know about a failed request is whether it
+//! may have been sent, because only a write that was not sent can be retried
+//! safely.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,34 +18,37 @@
 use crate::http::exchange::{self, ExchangeError};
 use crate::http::pool::LinkPool;
 
-/// Largest answer in bytes.
-const ANSWER_LIMIT: usize = 64 * 1024 * 1024;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// A client of one log service; a cheap handle.
+/// A client of one log service. Clones share one connection pool.
 #[derive(Debug, Clone)]
 pub struct LogClient {
     address: SocketAddr,
-    answer_time: Duration,
+    response_timeout: Duration,
     pool: LinkPool,
 }
 
 impl LogClient {
-    /// Returns a client of the service at `address`, which has `answer_time`
-    /// for an answer beyond what a request allows it to wait.
-    pub fn new(address: SocketAddr, answer_time: Duration, clock: SharedClock) -> Self {
+    /// Returns a client of the service at `address`.
+    ///
+    /// A request times out `response_timeout` after the time for which it allows
+    /// the service to hold it open.
+    pub fn new(address: SocketAddr, response_timeout: Duration, clock: SharedClock) -> Self {
         Self {
             address,
-            answer_time,
+            response_timeout,
             pool: LinkPool::to_store(clock),
         }
     }
 
-    /// Makes one request and returns the status and the body of its answer.
+    /// Sends one request and returns the status and the body of the response.
+    /// `wait` is how long the service may hold the request open.
     ///
     /// # Errors
     ///
-    /// [`LogError::Refused`] when the request was not sent, [`LogError::Indeterminate`]
-    /// when it may have been.
+    /// Returns [`LogError::Refused`] if the request was not sent and
+    /// [`LogError::Indeterminate`] if it may have been.
     pub async fn exchange(
         &self,
         method: Method,
@@ -52,20 +56,22 @@
         body: Bytes,
         wait: Duration,
     ) -> Result<(StatusCode, Bytes), LogError> {
-        let exchange = self.exchange_now(method, path, body);
-        timeout(wait + self.answer_time, exchange)
+        let exchange = self.exchange_without_timeout(method, path, body);
+        timeout(wait + self.response_timeout, exchange)
             .await
-            .map_err(|_| LogError::Indeterminate("no answer in time".to_owned()))?
+            .map_err(|_| LogError::Indeterminate("timed out".to_owned()))?
     }
 
-    async fn exchange_now(
+    /// Sends the request again if a reused connection turned out to be closed
+    /// before any of it was sent.
+    async fn exchange_without_timeout(
         &self,
         method: Method,
         path: String,
         body: Bytes,
     ) -> Result<(StatusCode, Bytes), LogError> {
-        let refused = |why: String| LogError::Refused(why);
-        let lost = |why: String| LogError::Indeterminate(why);
+        let refused = |reason: String| LogError::Refused(reason);
+        let indeterminate = |reason: String| LogError::Indeterminate(reason);
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -84,14 +90,16 @@
                     request = *unsent;
                     continue;
                 }
-                Err(ExchangeError::Unsent(_)) => return Err(refused("not sent".to_owned())),
-                Err(ExchangeError::Lost(error)) => return Err(lost(error.to_string())),
+                Err(ExchangeError::Unsent(_)) => {
+                    return Err(refused("the request was not sent".to_owned()));
+                }
+                Err(ExchangeError::Lost(error)) => return Err(indeterminate(error.to_string())),
             };
             let status = response.status();
-            let body = Limited::new(response.into_body(), ANSWER_LIMIT)
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
-                .map_err(|error| lost(error.to_string()))?
+                .map_err(|error| indeterminate(error.to_string()))?
                 .to_bytes();
             self.pool.give_back(link);
             return Ok((status, body));
--- a/wisteriaturnd/src/stream/http.rs
+++ b/wisteriaturnd/src/stream/http.rs
@@ -1,8 +1,8 @@
-//! The adapter to the platform's log over HTTP/1.1 and JSON.
+//! The adapter to the platform's log service over HTTP/1.1 and JSON.
 //!
-//! All that is particular to this protocol is in this file, so that another
-//! one costs one file. [docs/DESIGN.md](../../docs/DESIGN.md#7-the-edges) has
-//! the requests.
+//! Everything specific to this protocol is in this file, so that supporting
+//! another one takes one new file.
+//! [docs/DESIGN.md](../../docs/DESIGN.md#7-the-edges) describes the requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,8 +19,9 @@
 
 use crate::stream::client::LogClient;
 
-/// Time for the log to answer beyond what a read may wait.
-const ANSWER_TIME: Duration = Duration::from_secs(3);
+/// How long the log service may take to respond, beyond the time for which a
+/// read may be held open.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Deserialize)]
 struct AppendReply {
@@ -50,20 +51,20 @@
     client: LogClient,
 }
 
-/// Returns a port to the log service at `address`.
+/// Returns a [`LogPort`] to the log service at `address`.
 pub fn http_log(address: SocketAddr, clock: SharedClock) -> LogPort {
-    let service = HttpLog {
-        client: LogClient::new(address, ANSWER_TIME, clock),
+    let log = HttpLog {
+        client: LogClient::new(address, RESPONSE_TIMEOUT, clock),
     };
-    let reader = service.clone();
+    let reader = log.clone();
     LogPort::new(
         move |stream, data| {
-            let service = service.clone();
-            Box::pin(async move { service.append(&stream, data).await })
+            let log = log.clone();
+            Box::pin(async move { log.append(&stream, data).await })
         },
         move |request| {
-            let service = reader.clone();
-            Box::pin(async move { service.read(&request).await })
+            let log = reader.clone();
+            Box::pin(async move { log.read(&request).await })
         },
     )
 }
@@ -79,10 +80,10 @@
             return Err(LogError::Refused(status.to_string()));
         }
         if status != StatusCode::OK {
-            // The record may have been written before the error.
+            // The service may have written the record before it failed.
             return Err(LogError::Indeterminate(status.to_string()));
         }
-        let reply: AppendReply = decode(&body)?;
+        let reply: AppendReply = decode_json(&body)?;
         Ok(reply.offset)
     }
 
@@ -99,9 +100,9 @@
             .exchange(Method::GET, path, Bytes::new(), request.wait)
             .await?;
         match status {
-            StatusCode::OK => to_batch(decode(&body)?, request.from),
+            StatusCode::OK => decode_batch(decode_json(&body)?, request.from),
             StatusCode::GONE => {
-                let reply: TrimReply = decode(&body)?;
+                let reply: TrimReply = decode_json(&body)?;
                 Err(LogError::Trimmed { first: reply.first })
             }
             _ => Err(LogError::Indeterminate(status.to_string())),
@@ -109,24 +110,27 @@
     }
 }
 
-fn decode<T>(body: &[u8]) -> Result<T, LogError>
+fn decode_json<T>(body: &[u8]) -> Result<T, LogError>
 where
     T: serde::de::DeserializeOwned,
 {
     serde_json::from_slice(body)
-        .map_err(|error| LogError::Indeterminate(format!("bad answer: {error}")))
+        .map_err(|error| LogError::Indeterminate(format!("malformed response: {error}")))
 }
 
-/// Checks that the records follow each other from the offset asked for: an
-/// answer that was delayed or repeated must not be folded in a wrong place.
-fn to_batch(reply: ReadReply, from: Offset) -> Result<LogBatch, LogError> {
+/// Decodes the records and checks that their offsets are consecutive from `from`
+/// on, so that a delayed or duplicated response is never folded at the wrong
+/// position.
+fn decode_batch(reply: ReadReply, from: Offset) -> Result<LogBatch, LogError> {
     let mut records = Vec::with_capacity(reply.records.len());
     for (expected, record) in (from.0..).zip(reply.records) {
         let data = STANDARD
             .decode(&record.data)
-            .map_err(|error| LogError::Indeterminate(format!("bad record: {error}")))?;
+            .map_err(|error| LogError::Indeterminate(format!("malformed record: {error}")))?;
         if record.offset.0 != expected {
-            return Err(LogError::Indeterminate("records out of order".to_owned()));
+            return Err(LogError::Indeterminate(
+                "records are not consecutive".to_owned(),
+            ));
         }
         records.push(LogRecord {
             offset: record.offset,
--- a/wisteriaturnd/src/stream/memory.rs
+++ b/wisteriaturnd/src/stream/memory.rs
@@ -1,4 +1,4 @@
-//! A log in memory, for `--trial` and for tests.
+//! An in-memory log, for `--trial` and for tests.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -34,7 +34,7 @@
             .get(&request.stream)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        let found = (0..)
+        let selected = (0..)
             .map(Offset)
             .zip(records)
             .skip(request.from.0 as usize)
@@ -47,11 +47,13 @@
         LogBatch {
             first: Offset(0),
             next: Offset(records.len() as u64),
-            records: found,
+            records: selected,
         }
     }
 
-    async fn wait_and_read(&self, request: &ReadRequest) -> LogBatch {
+    /// Reads a batch; if it would be empty, waits up to `request.wait` for one
+    /// append to any stream and reads again.
+    async fn read_or_wait(&self, request: &ReadRequest) -> LogBatch {
         let appended = self.appended.notified();
         let batch = self.read(request);
         if !batch.records.is_empty() || request.wait.is_zero() {
@@ -62,7 +64,7 @@
     }
 }
 
-/// Returns a port to a new log in memory.
+/// Returns a [`LogPort`] to a new, empty in-memory log.
 pub fn memory_log() -> LogPort {
     let log = Arc::new(MemoryLog::default());
     let reader = Arc::clone(&log);
@@ -73,7 +75,7 @@
         },
         move |request| {
             let log = Arc::clone(&reader);
-            Box::pin(async move { Ok(log.wait_and_read(&request).await) })
+            Box::pin(async move { Ok(log.read_or_wait(&request).await) })
         },
     )
 }
--- a/wisteriaturnd/src/stream/mod.rs
+++ b/wisteriaturnd/src/stream/mod.rs
@@ -1,4 +1,4 @@
-//! Adapters to the service that keeps streams of records.
+//! Adapters to the append-only log service, which stores streams of records.
 
 pub mod client;
 pub mod http;
