--- a/wisteriaturn-cli/src/api.rs
+++ b/wisteriaturn-cli/src/api.rs
@@ -1,4 +1,4 @@
-//! The resource API of a node, as the tool speaks it.
+//! An HTTP client for the resource API of a node.
 
 use std::net::SocketAddr;
 
@@ -12,45 +12,48 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-use crate::error::ToolError;
+use crate::error::CliError;
 
-/// A reply with its JSON body.
+/// A response of the API.
 #[derive(Debug)]
 pub(crate) struct ApiReply {
-    /// HTTP status.
+    /// HTTP status code.
     pub(crate) status: u16,
-    /// Body.
+    /// Body as JSON; a body that is not JSON becomes a JSON string.
     pub(crate) body: Value,
 }
 
-/// A request.
+/// A request to the API.
 #[derive(Debug)]
 pub(crate) struct ApiRequest {
-    /// Method.
+    /// HTTP method.
     pub(crate) method: Method,
-    /// Path with its query.
+    /// Path and query.
     pub(crate) path: String,
-    /// Body.
+    /// Body; empty for a request without one.
     pub(crate) body: String,
-    /// Revision that must be held.
+    /// Revision that the resource must have, sent as `If-Match`.
     pub(crate) revision: Option<u64>,
 }
 
-/// A node and the token to write through it.
+/// A client of one node. It opens a new connection for each request.
 #[derive(Debug)]
-pub(crate) struct NodeApi {
+pub(crate) struct NodeClient {
     address: SocketAddr,
     token: Option<String>,
 }
 
-impl NodeApi {
-    /// Returns the API of the node at `address`.
+impl NodeClient {
+    /// Returns a client of the node whose admin port is at `address`; `token` is
+    /// sent as bearer token.
     pub(crate) fn new(address: SocketAddr, token: Option<String>) -> Self {
         Self { address, token }
     }
 
-    /// Gets a path.
-    pub(crate) async fn get(&self, path: &str) -> Result<Value, ToolError> {
+    /// Sends a `GET` request and returns the body of the response.
+    ///
+    /// Every status other than 200 is an error.
+    pub(crate) async fn get(&self, path: &str) -> Result<Value, CliError> {
         let reply = self
             .send(ApiRequest {
                 method: Method::GET,
@@ -62,19 +65,19 @@
         if reply.status == 200 {
             Ok(reply.body)
         } else {
-            Err(ToolError::Refused(error_text(&reply)))
+            Err(CliError::Refused(error_message(&reply)))
         }
     }
 
-    /// Makes a request and reads the whole reply.
-    pub(crate) async fn send(&self, request: ApiRequest) -> Result<ApiReply, ToolError> {
+    /// Sends a request and reads the whole response.
+    pub(crate) async fn send(&self, request: ApiRequest) -> Result<ApiReply, CliError> {
         let response = self.open(request).await?;
         let status = response.status().as_u16();
         let body = response
             .into_body()
             .collect()
             .await
-            .map_err(|error| ToolError::Unknown(error.to_string()))?
+            .map_err(|error| CliError::Unknown(error.to_string()))?
             .to_bytes();
         let body = serde_json::from_slice(&body).unwrap_or_else(|_| {
             Value::String(String::from_utf8_lossy(&body).trim_end().to_owned())
@@ -82,16 +85,16 @@
         Ok(ApiReply { status, body })
     }
 
-    /// Makes a request whose reply the caller reads.
-    pub(crate) async fn open(&self, request: ApiRequest) -> Result<Response<Incoming>, ToolError> {
+    /// Sends a request and returns the response with its body unread.
+    pub(crate) async fn open(&self, request: ApiRequest) -> Result<Response<Incoming>, CliError> {
         let unreachable =
-            |error: std::io::Error| ToolError::Unreachable(format!("{}: {error}", self.address));
+            |error: std::io::Error| CliError::Unreachable(format!("{}: {error}", self.address));
         let stream = TcpStream::connect(self.address)
             .await
             .map_err(unreachable)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| ToolError::Unreachable(error.to_string()))?;
+            .map_err(|error| CliError::Unreachable(error.to_string()))?;
         tokio::spawn(connection);
         let mut builder = Request::builder()
             .method(request.method)
@@ -105,22 +108,24 @@
         }
         let request = builder
             .body(Full::new(Bytes::from(request.body)))
-            .map_err(|error| ToolError::Usage(error.to_string()))?;
-        // Once the request is on its way a write may have taken effect.
+            .map_err(|error| CliError::Usage(error.to_string()))?;
+        // From here on the request may have been sent, so an error does not tell
+        // whether a write took effect.
         sender
             .send_request(request)
             .await
-            .map_err(|error| ToolError::Unknown(error.to_string()))
+            .map_err(|error| CliError::Unknown(error.to_string()))
     }
 }
 
-/// Returns what a reply says is wrong.
-pub(crate) fn error_text(reply: &ApiReply) -> String {
-    let text = reply.body["error"]
+/// Returns the error message of a response: its `error` or `reason` field, or
+/// the status and the body if it has neither.
+pub(crate) fn error_message(reply: &ApiReply) -> String {
+    let message = reply.body["error"]
         .as_str()
         .or_else(|| reply.body["reason"].as_str());
-    match text {
-        Some(text) => text.to_owned(),
+    match message {
+        Some(message) => message.to_owned(),
         None => format!("status {}: {}", reply.status, reply.body),
     }
 }
--- a/wisteriaturn-cli/src/source.rs
+++ b/wisteriaturn-cli/src/change_file.rs
@@ -1,22 +1,27 @@
-//! Files of resources: TOML or JSON.
+//! Reading of a change from a TOML or JSON file.
 //!
-//! A TOML file has an array of tables for each kind, `[[service]]`,
-//! `[[route]]` and `[[policy]]`; `expect` in a table is the revision that the
-//! writer expects. A JSON file has the body of `POST /v1/changes`.
+//! A TOML file has an array of tables for each kind of resource, `[[service]]`,
+//! `[[route]]` and `[[policy]]`; the key `expect` of a table is the revision
+//! that the resource must have. A JSON file holds the body of
+//! `POST /v1/changes`.
 
 use std::io::Read;
 use std::path::Path;
 
 use serde_json::{Map, Value, json};
 
-use crate::error::ToolError;
+use crate::error::CliError;
 
-const KINDS: [&str; 3] = ["service", "route", "policy"];
+/// Kinds of resources, in the order in which their operations are written.
+const RESOURCE_KINDS: [&str; 3] = ["service", "route", "policy"];
 
-/// Reads a file and returns the body of a change.
-pub(crate) fn read_change(file: Option<&Path>) -> Result<Map<String, Value>, ToolError> {
+/// Reads a change file, or standard input for `-`, and returns the body of the
+/// request that submits the change.
+pub(crate) fn read_change(file: Option<&Path>) -> Result<Map<String, Value>, CliError> {
     let Some(path) = file else {
-        return Err(ToolError::Usage("a file is needed, or -".to_owned()));
+        return Err(CliError::Usage(
+            "expected a file, or - for standard input".to_owned(),
+        ));
     };
     let text = read_text(path)?;
     let is_json = text.trim_start().starts_with('{');
@@ -25,23 +30,26 @@
     } else {
         parse_toml(&text)
     };
-    parsed.map_err(|error| ToolError::Usage(format!("{}: {error}", path.display())))
+    parsed.map_err(|error| CliError::Usage(format!("{}: {error}", path.display())))
 }
 
-fn read_text(path: &Path) -> Result<String, ToolError> {
-    let usage = |error: std::io::Error| ToolError::Usage(format!("{}: {error}", path.display()));
+fn read_text(path: &Path) -> Result<String, CliError> {
+    let usage_error =
+        |error: std::io::Error| CliError::Usage(format!("{}: {error}", path.display()));
     if path == Path::new("-") {
         let mut text = String::new();
-        std::io::stdin().read_to_string(&mut text).map_err(usage)?;
+        std::io::stdin()
+            .read_to_string(&mut text)
+            .map_err(usage_error)?;
         return Ok(text);
     }
-    std::fs::read_to_string(path).map_err(usage)
+    std::fs::read_to_string(path).map_err(usage_error)
 }
 
 fn parse_json(text: &str) -> Result<Map<String, Value>, String> {
     match serde_json::from_str(text) {
         Ok(Value::Object(change)) => Ok(change),
-        Ok(_) => Err("not a JSON object".to_owned()),
+        Ok(_) => Err("expected a JSON object".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
@@ -51,14 +59,14 @@
         toml::from_str(text).map_err(|error| error.to_string().trim_end().to_owned())?;
     let mut operations = Vec::new();
     for kind in file.keys() {
-        if !KINDS.contains(&kind.as_str()) {
+        if !RESOURCE_KINDS.contains(&kind.as_str()) {
             return Err(format!(
                 "unknown key {kind:?}; allowed: {}",
-                KINDS.join(", ")
+                RESOURCE_KINDS.join(", ")
             ));
         }
     }
-    for kind in KINDS {
+    for kind in RESOURCE_KINDS {
         let Some(tables) = file.get(kind) else {
             continue;
         };
--- a/wisteriaturn-cli/src/commands.rs
+++ b/wisteriaturn-cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! The implementation of each command.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -7,72 +7,76 @@
 use hyper::Method;
 use serde_json::{Map, Value, json};
 
-use crate::api::{ApiReply, ApiRequest, NodeApi, error_text};
-use crate::error::ToolError;
-use crate::options::{ApplyOptions, ExplainOptions, OutputFormat, ToolCommand, ToolOptions};
+use crate::api::{ApiReply, ApiRequest, NodeClient, error_message};
+use crate::change_file::read_change;
+use crate::error::CliError;
+use crate::options::{ApplyOptions, CliCommand, CliOptions, ExplainOptions, OutputFormat};
 use crate::print::print_reply;
-use crate::source::read_change;
-use crate::why::why;
+use crate::why::print_request_lines;
 
-/// Pause between two looks at who holds a version.
-const WAIT_STEP: Duration = Duration::from_millis(100);
+/// Interval between two queries of the convergence of a version.
+const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs a command.
-pub(crate) async fn run(options: ToolOptions, api: &NodeApi) -> Result<(), ToolError> {
+/// Runs the command that the options name.
+pub(crate) async fn run(options: CliOptions, client: &NodeClient) -> Result<(), CliError> {
     let format = options.output;
-    let usage = || ToolError::Usage("a command is needed; see --help".to_owned());
-    match options.command.ok_or_else(usage)? {
-        ToolCommand::Apply(options) => apply(api, format, options).await,
-        ToolCommand::Get(options) => {
+    let no_command = || CliError::Usage("missing command; see --help".to_owned());
+    match options.command.ok_or_else(no_command)? {
+        CliCommand::Apply(options) => apply(client, format, options).await,
+        CliCommand::Get(options) => {
             let what = options.what.unwrap_or_else(|| "resources".to_owned());
-            show(api, format, &format!("/v1/{what}")).await
+            get_and_print(client, format, &format!("/v1/{what}")).await
         }
-        ToolCommand::Delete(options) => {
-            let what = options.what.ok_or_else(|| missing("kind/name"))?;
-            delete(api, format, &what, options.revision).await
+        CliCommand::Delete(options) => {
+            let what = options.what.ok_or_else(|| missing_argument("kind/name"))?;
+            delete(client, format, &what, options.revision).await
         }
-        ToolCommand::Status(_) => show(api, format, "/v1/status").await,
-        ToolCommand::Watch(options) => watch(api, options.from).await,
-        ToolCommand::Explain(options) => explain(api, format, options).await,
-        ToolCommand::Targets(_) => show(api, format, "/v1/targets").await,
-        ToolCommand::Members(_) => show(api, format, "/v1/members").await,
-        ToolCommand::Convergence(options) => {
+        CliCommand::Status(_) => get_and_print(client, format, "/v1/status").await,
+        CliCommand::Watch(options) => watch(client, options.from).await,
+        CliCommand::Explain(options) => explain(client, format, options).await,
+        CliCommand::Targets(_) => get_and_print(client, format, "/v1/targets").await,
+        CliCommand::Members(_) => get_and_print(client, format, "/v1/members").await,
+        CliCommand::Convergence(options) => {
             let query = options.version.map(|version| format!("?version={version}"));
             let path = format!("/v1/convergence{}", query.unwrap_or_default());
-            show(api, format, &path).await
+            get_and_print(client, format, &path).await
         }
-        ToolCommand::Change(options) => {
-            let id = options.id.ok_or_else(|| missing("id of the change"))?;
-            show(api, format, &format!("/v1/changes/{id}")).await
+        CliCommand::Change(options) => {
+            let id = options.id.ok_or_else(|| missing_argument("change id"))?;
+            get_and_print(client, format, &format!("/v1/changes/{id}")).await
         }
-        ToolCommand::Why(options) => {
+        CliCommand::Why(options) => {
             let (request, files) = options
                 .words
                 .split_first()
                 .filter(|(_, files)| !files.is_empty())
-                .ok_or_else(|| missing("request's name and a log file"))?;
+                .ok_or_else(|| missing_argument("request id and at least one log file"))?;
             let files: Vec<PathBuf> = files.iter().map(PathBuf::from).collect();
-            why(request, &files)
+            print_request_lines(request, &files)
         }
-        ToolCommand::Check(options) => check(api, format, options.file.as_deref()).await,
+        CliCommand::Check(options) => check(client, format, options.file.as_deref()).await,
     }
 }
 
-fn missing(what: &str) -> ToolError {
-    ToolError::Usage(format!("the {what} is needed; see --help"))
+fn missing_argument(what: &str) -> CliError {
+    CliError::Usage(format!("missing argument: {what}; see --help"))
 }
 
-async fn show(api: &NodeApi, format: OutputFormat, path: &str) -> Result<(), ToolError> {
-    let reply = api.get(path).await?;
+async fn get_and_print(
+    client: &NodeClient,
+    format: OutputFormat,
+    path: &str,
+) -> Result<(), CliError> {
+    let reply = client.get(path).await?;
     print_reply(format, &reply);
     Ok(())
 }
 
 async fn apply(
-    api: &NodeApi,
+    client: &NodeClient,
     format: OutputFormat,
     options: ApplyOptions,
-) -> Result<(), ToolError> {
+) -> Result<(), CliError> {
     let mut change = read_change(options.file.as_deref())?;
     if let Some(author) = options.author {
         change.insert("author".to_owned(), json!(author));
@@ -80,28 +84,32 @@
     if let Some(id) = options.change_id {
         change.insert("change_id".to_owned(), json!(id));
     }
-    let reply = post_change(api, "/v1/changes", &change).await?;
+    let reply = post_change(client, "/v1/changes", &change).await?;
     print_reply(format, &reply.body);
     if !options.wait {
         return Ok(());
     }
     let version = reply.body["version"].as_u64().unwrap_or_default();
-    wait_converged(api, version, Duration::from_secs(options.timeout)).await
+    wait_for_convergence(client, version, Duration::from_secs(options.timeout)).await
 }
 
-async fn check(api: &NodeApi, format: OutputFormat, file: Option<&Path>) -> Result<(), ToolError> {
+async fn check(
+    client: &NodeClient,
+    format: OutputFormat,
+    file: Option<&Path>,
+) -> Result<(), CliError> {
     let change = read_change(file)?;
-    let reply = post_change(api, "/v1/changes?dry_run=true", &change).await?;
+    let reply = post_change(client, "/v1/changes?dry_run=true", &change).await?;
     print_reply(format, &reply.body);
     Ok(())
 }
 
 async fn post_change(
-    api: &NodeApi,
+    client: &NodeClient,
     path: &str,
     change: &Map<String, Value>,
-) -> Result<ApiReply, ToolError> {
-    let reply = api
+) -> Result<ApiReply, CliError> {
+    let reply = client
         .send(ApiRequest {
             method: Method::POST,
             path: path.to_owned(),
@@ -109,28 +117,34 @@
             revision: None,
         })
         .await?;
-    settle(reply)
+    check_write_reply(reply)
 }
 
-/// Turns the reply to a write into a result.
-fn settle(reply: ApiReply) -> Result<ApiReply, ToolError> {
+/// Returns the reply to a write if the write was accepted, and otherwise the
+/// matching error. Status 504 means that its outcome is unknown.
+fn check_write_reply(reply: ApiReply) -> Result<ApiReply, CliError> {
     let id = reply.body["change_id"].as_str().unwrap_or("-");
     match reply.status {
         200 => Ok(reply),
-        504 => Err(ToolError::Unknown(format!(
-            "{}; ask with: wisteriaturn change {id}",
-            error_text(&reply)
+        504 => Err(CliError::Unknown(format!(
+            "{}; to query it, run: wisteriaturn change {id}",
+            error_message(&reply)
         ))),
-        _ => Err(ToolError::Refused(error_text(&reply))),
+        _ => Err(CliError::Refused(error_message(&reply))),
     }
 }
 
-/// Waits until every live node holds a version, telling the progress.
-async fn wait_converged(api: &NodeApi, version: u64, time: Duration) -> Result<(), ToolError> {
-    let until = Instant::now() + time;
-    let mut told = None;
+/// Waits until every live node holds a version and prints the progress to
+/// standard error.
+async fn wait_for_convergence(
+    client: &NodeClient,
+    version: u64,
+    timeout: Duration,
+) -> Result<(), CliError> {
+    let deadline = Instant::now() + timeout;
+    let mut reported_holders = None;
     loop {
-        let report = api
+        let report = client
             .get(&format!("/v1/convergence?version={version}"))
             .await?;
         let laggards = report["laggards"].as_array().cloned().unwrap_or_default();
@@ -139,27 +153,27 @@
             eprintln!("version {version}: all {holders} nodes hold it");
             return Ok(());
         }
-        if told != Some(holders) {
-            let all = holders + laggards.len() as u64;
-            eprintln!("version {version}: {holders} of {all} nodes hold it");
-            told = Some(holders);
+        if reported_holders != Some(holders) {
+            let live = holders + laggards.len() as u64;
+            eprintln!("version {version}: {holders} of {live} nodes hold it");
+            reported_holders = Some(holders);
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             let names: Vec<&str> = laggards.iter().filter_map(Value::as_str).collect();
-            let text = format!("version {version} is not held by {}", names.join(", "));
-            return Err(ToolError::NotReached(text));
+            let reason = format!("version {version} is not held by {}", names.join(", "));
+            return Err(CliError::TimedOut(reason));
         }
-        tokio::time::sleep(WAIT_STEP).await;
+        tokio::time::sleep(CONVERGENCE_POLL_INTERVAL).await;
     }
 }
 
 async fn delete(
-    api: &NodeApi,
+    client: &NodeClient,
     format: OutputFormat,
     what: &str,
     revision: Option<u64>,
-) -> Result<(), ToolError> {
-    let reply = api
+) -> Result<(), CliError> {
+    let reply = client
         .send(ApiRequest {
             method: Method::DELETE,
             path: format!("/v1/{what}"),
@@ -167,27 +181,27 @@
             revision,
         })
         .await?;
-    let reply = settle(reply)?;
+    let reply = check_write_reply(reply)?;
     print_reply(format, &reply.body);
     Ok(())
 }
 
 async fn explain(
-    api: &NodeApi,
+    client: &NodeClient,
     format: OutputFormat,
     options: ExplainOptions,
-) -> Result<(), ToolError> {
-    let path = options.path.ok_or_else(|| missing("path"))?;
+) -> Result<(), CliError> {
+    let path = options.path.ok_or_else(|| missing_argument("path"))?;
     let query = form_urlencoded::Serializer::new(String::new())
         .append_pair("path", &path)
         .append_pair("host", &options.host)
         .append_pair("method", &options.method)
         .finish();
-    show(api, format, &format!("/v1/explain?{query}")).await
+    get_and_print(client, format, &format!("/v1/explain?{query}")).await
 }
 
-async fn watch(api: &NodeApi, from: u64) -> Result<(), ToolError> {
-    let mut response = api
+async fn watch(client: &NodeClient, from: u64) -> Result<(), CliError> {
+    let mut response = client
         .open(ApiRequest {
             method: Method::GET,
             path: format!("/v1/watch?from={from}"),
@@ -196,7 +210,7 @@
         })
         .await?;
     while let Some(frame) = response.frame().await {
-        let frame = frame.map_err(|error| ToolError::Unreachable(error.to_string()))?;
+        let frame = frame.map_err(|error| CliError::Unreachable(error.to_string()))?;
         if let Ok(data) = frame.into_data() {
             print!("{}", String::from_utf8_lossy(&data));
         }
--- a/wisteriaturn-cli/src/error.rs
+++ b/wisteriaturn-cli/src/error.rs
@@ -1,46 +1,47 @@
-//! The errors of the tool, each with its exit code.
+//! The errors of the command-line tool and their exit codes.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// Why a command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug)]
 #[non_exhaustive]
-pub(crate) enum ToolError {
-    /// The node refused, with a reason.
+pub(crate) enum CliError {
+    /// The node rejected the request, for the given reason.
     Refused(String),
-    /// The arguments or the file are wrong.
+    /// The arguments or an input file are invalid.
     Usage(String),
-    /// It is not known whether the change will come into force.
+    /// It is unknown whether the change will take effect.
     Unknown(String),
-    /// A condition was not reached in time.
-    NotReached(String),
-    /// The node cannot be reached; nothing was written.
+    /// The awaited condition did not hold before the timeout.
+    TimedOut(String),
+    /// The node cannot be reached, so nothing was written.
     Unreachable(String),
 }
 
-impl ToolError {
-    /// Returns the exit code: 1 refused, 2 usage, 3 unknown, 4 not in time.
+impl CliError {
+    /// Returns the exit code: 1 if the node refused or cannot be reached, 2 for
+    /// a usage error, 3 if the outcome is unknown, 4 for a timeout.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            ToolError::Refused(_) | ToolError::Unreachable(_) => 1,
-            ToolError::Usage(_) => 2,
-            ToolError::Unknown(_) => 3,
-            ToolError::NotReached(_) => 4,
+            CliError::Refused(_) | CliError::Unreachable(_) => 1,
+            CliError::Usage(_) => 2,
+            CliError::Unknown(_) => 3,
+            CliError::TimedOut(_) => 4,
         })
     }
 }
 
-impl fmt::Display for ToolError {
+impl fmt::Display for CliError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ToolError::Refused(why) => write!(f, "refused: {why}"),
-            ToolError::Usage(why) => f.write_str(why),
-            ToolError::Unknown(why) => write!(f, "outcome unknown: {why}"),
-            ToolError::NotReached(why) => write!(f, "not reached in time: {why}"),
-            ToolError::Unreachable(why) => write!(f, "cannot reach the node: {why}"),
+            CliError::Refused(reason) => write!(f, "refused: {reason}"),
+            CliError::Usage(reason) => f.write_str(reason),
+            CliError::Unknown(reason) => write!(f, "outcome unknown: {reason}"),
+            CliError::TimedOut(reason) => write!(f, "timed out: {reason}"),
+            CliError::Unreachable(reason) => write!(f, "cannot reach the node: {reason}"),
         }
     }
 }
 
-impl std::error::Error for ToolError {}
+impl std::error::Error for CliError {}
--- a/wisteriaturn-cli/src/main.rs
+++ b/wisteriaturn-cli/src/main.rs
@@ -1,12 +1,12 @@
-//! The operators' tool `wisteriaturn`: drives a mesh through the resource API
-//! of any of its nodes.
+//! `wisteriaturn`, the command-line tool for operators: administers a mesh
+//! through the resource API of any of its nodes.
 
 mod api;
+mod change_file;
 mod commands;
 mod error;
 mod options;
 mod print;
-mod source;
 mod why;
 
 use std::net::SocketAddr;
@@ -14,16 +14,17 @@
 
 use gumdrop::Options;
 
-use crate::api::NodeApi;
-use crate::error::ToolError;
-use crate::options::ToolOptions;
+use crate::api::NodeClient;
+use crate::error::CliError;
+use crate::options::CliOptions;
 
-/// Node that is asked when none is named.
-const DEFAULT_NODE: &str = "127.0.0.1:7081";
+/// Admin address that is used if neither `--node` nor `WISTERIATURN_NODE` is
+/// set.
+const DEFAULT_NODE_ADDRESS: &str = "127.0.0.1:7081";
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
-    let options = ToolOptions::parse_args_default_or_exit();
+    let options = CliOptions::parse_args_default_or_exit();
     if options.version {
         println!("wisteriaturn {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
@@ -37,23 +38,24 @@
     }
 }
 
-async fn run(options: ToolOptions) -> Result<(), ToolError> {
+async fn run(options: CliOptions) -> Result<(), CliError> {
     let address = match options.node {
         Some(address) => address,
-        None => default_node()?,
+        None => node_address_from_env()?,
     };
     let token = options
         .token
         .clone()
         .or_else(|| std::env::var("WISTERIATURN_TOKEN").ok());
-    let api = NodeApi::new(address, token);
-    commands::run(options, &api).await
+    let client = NodeClient::new(address, token);
+    commands::run(options, &client).await
 }
 
-fn default_node() -> Result<SocketAddr, ToolError> {
-    let text = std::env::var("WISTERIATURN_NODE").unwrap_or_else(|_| DEFAULT_NODE.to_owned());
+fn node_address_from_env() -> Result<SocketAddr, CliError> {
+    let text =
+        std::env::var("WISTERIATURN_NODE").unwrap_or_else(|_| DEFAULT_NODE_ADDRESS.to_owned());
     text.parse().map_err(|error| {
-        ToolError::Usage(format!(
+        CliError::Usage(format!(
             "WISTERIATURN_NODE = {text:?} is not allowed: {error}"
         ))
     })
--- a/wisteriaturn-cli/src/options.rs
+++ b/wisteriaturn-cli/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line of `wisteriaturn`.
+//! The command-line options of `wisteriaturn`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,13 +6,13 @@
 
 use gumdrop::Options;
 
-/// How results are printed.
+/// Format in which responses are printed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum OutputFormat {
-    /// For people.
+    /// Indented `key: value` lines.
     #[default]
     Text,
-    /// The reply as it came.
+    /// The JSON body of the response on one line.
     Json,
 }
 
@@ -23,14 +23,14 @@
         match text {
             "text" => Ok(OutputFormat::Text),
             "json" => Ok(OutputFormat::Json),
-            _ => Err("allowed are text and json".to_owned()),
+            _ => Err("expected text or json".to_owned()),
         }
     }
 }
 
-/// Drives a mesh through the resource API of any node.
+/// Administers a mesh through the resource API of any of its nodes.
 #[derive(Debug, Options)]
-pub(crate) struct ToolOptions {
+pub(crate) struct CliOptions {
     #[options(help = "print this help")]
     pub(crate) help: bool,
     #[options(help = "print the version")]
@@ -48,12 +48,12 @@
     #[options(help = "text or json (default text)", meta = "FORMAT")]
     pub(crate) output: OutputFormat,
     #[options(command)]
-    pub(crate) command: Option<ToolCommand>,
+    pub(crate) command: Option<CliCommand>,
 }
 
-/// The commands.
+/// The subcommands.
 #[derive(Debug, Options)]
-pub(crate) enum ToolCommand {
+pub(crate) enum CliCommand {
     #[options(help = "write the resources of a TOML or JSON file as one change")]
     Apply(ApplyOptions),
     #[options(help = "show resources in force on the node")]
@@ -61,22 +61,22 @@
     #[options(help = "delete one resource")]
     Delete(DeleteOptions),
     #[options(help = "show the state of the node")]
-    Status(PlainOptions),
-    #[options(help = "print a line for each change as it comes into force")]
+    Status(HelpOnlyOptions),
+    #[options(help = "print a line for each change as the node applies it")]
     Watch(WatchOptions),
-    #[options(help = "say which target a call would take, and why not the others")]
+    #[options(help = "show which target a call would be sent to, and why not the others")]
     Explain(ExplainOptions),
     #[options(help = "show the targets of each service")]
-    Targets(PlainOptions),
+    Targets(HelpOnlyOptions),
     #[options(help = "show the nodes of the mesh")]
-    Members(PlainOptions),
+    Members(HelpOnlyOptions),
     #[options(help = "show which nodes hold a version and which do not")]
     Convergence(ConvergenceOptions),
-    #[options(help = "ask what became of a change")]
+    #[options(help = "show the outcome of a change")]
     Change(ChangeOptions),
-    #[options(help = "show what log files say about one request, in order")]
+    #[options(help = "show the lines of log files about one request, ordered by time")]
     Why(WhyOptions),
-    #[options(help = "check a file of resources against the node's view without writing")]
+    #[options(help = "validate a file of resources against the node's view without writing")]
     Check(CheckOptions),
 }
 
@@ -86,9 +86,11 @@
     pub(crate) help: bool,
     #[options(free, help = "file, or - for standard input")]
     pub(crate) file: Option<PathBuf>,
-    #[options(help = "who asks, for the record")]
+    #[options(help = "author to record with the change")]
     pub(crate) author: Option<String>,
-    #[options(help = "id of the change, 32 hexadecimal digits; send it again safely")]
+    #[options(
+        help = "id of the change, 32 hexadecimal digits; a repeated id is applied only once"
+    )]
     pub(crate) change_id: Option<String>,
     #[options(help = "wait until every live node holds the change")]
     pub(crate) wait: bool,
@@ -100,7 +102,7 @@
 pub(crate) struct GetOptions {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(free, help = "kind, or kind/name; all when absent")]
+    #[options(free, help = "kind, or kind/name; all resources if absent")]
     pub(crate) what: Option<String>,
 }
 
@@ -110,12 +112,15 @@
     pub(crate) help: bool,
     #[options(free, help = "kind/name")]
     pub(crate) what: Option<String>,
-    #[options(help = "delete only at this revision", meta = "REVISION")]
+    #[options(
+        help = "delete only if the resource has this revision",
+        meta = "REVISION"
+    )]
     pub(crate) revision: Option<u64>,
 }
 
 #[derive(Debug, Options)]
-pub(crate) struct PlainOptions {
+pub(crate) struct HelpOnlyOptions {
     #[options(help = "print this help")]
     pub(crate) help: bool,
 }
@@ -144,7 +149,7 @@
 pub(crate) struct ConvergenceOptions {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(free, help = "version; the node's own when absent")]
+    #[options(free, help = "version; the node's current version if absent")]
     pub(crate) version: Option<u64>,
 }
 
@@ -168,6 +173,6 @@
 pub(crate) struct WhyOptions {
     #[options(help = "print this help")]
     pub(crate) help: bool,
-    #[options(free, help = "the caller's name for the request, then log files")]
+    #[options(free, help = "request id chosen by the caller, then log files")]
     pub(crate) words: Vec<String>,
 }
--- a/wisteriaturn-cli/src/why.rs
+++ b/wisteriaturn-cli/src/why.rs
@@ -1,31 +1,33 @@
-//! What the nodes wrote about one request, in the order in which it happened.
+//! The `why` command: collects the log lines of all nodes about one request, in
+//! order of time.
 //!
-//! Every line that touches a request names it as its caller did. So the path of
-//! a request is found in the logs of the nodes that it passed, without an index.
+//! Every log line about a request contains the request id that its caller chose.
+//! Its path through the mesh can therefore be reconstructed from the logs of the
+//! nodes that it passed through, without an index.
 
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 
-use crate::error::ToolError;
+use crate::error::CliError;
 
-/// Prefix of the key that names a request.
-const REQUEST_KEY: &str = "request=";
+/// Prefix of the log field that holds the id of the request.
+const REQUEST_PREFIX: &str = "request=";
 
-/// Prefix of the key that names the time.
-const TIME_KEY: &str = "timestamp=";
+/// Prefix of the log field that holds the time.
+const TIMESTAMP_PREFIX: &str = "timestamp=";
 
-/// Prints the lines about a request.
-pub(crate) fn why(request: &str, files: &[PathBuf]) -> Result<(), ToolError> {
+/// Prints the log lines about a request, sorted by timestamp.
+pub(crate) fn print_request_lines(request: &str, files: &[PathBuf]) -> Result<(), CliError> {
     let mut found = Vec::new();
     for file in files {
         find_lines(request, file, &mut found)?;
     }
     if found.is_empty() {
-        let why = format!(
-            "no line about request {request:?} in {} file(s)",
+        let reason = format!(
+            "no log line about request {request:?} in {} file(s)",
             files.len()
         );
-        return Err(ToolError::Refused(why));
+        return Err(CliError::Refused(reason));
     }
     found.sort();
     for (_, file, line) in found {
@@ -34,22 +36,26 @@
     Ok(())
 }
 
+/// Appends the lines about a request to `found`, each with its timestamp and the
+/// name of its file.
 fn find_lines(
     request: &str,
     file: &Path,
     found: &mut Vec<(String, String, String)>,
-) -> Result<(), ToolError> {
+) -> Result<(), CliError> {
     let name = file.display().to_string();
-    let unreadable = |error| ToolError::Usage(format!("{name}: {error}"));
+    let unreadable = |error| CliError::Usage(format!("{name}: {error}"));
     let reader = std::io::BufReader::new(std::fs::File::open(file).map_err(unreadable)?);
     for line in reader.lines() {
         let line = line.map_err(unreadable)?;
-        let is_about = line
+        let is_match = line
             .split(' ')
-            .any(|part| part.strip_prefix(REQUEST_KEY) == Some(request));
-        if is_about {
-            let time = line.split(' ').find_map(|part| part.strip_prefix(TIME_KEY));
-            found.push((time.unwrap_or_default().to_owned(), name.clone(), line));
+            .any(|field| field.strip_prefix(REQUEST_PREFIX) == Some(request));
+        if is_match {
+            let timestamp = line
+                .split(' ')
+                .find_map(|field| field.strip_prefix(TIMESTAMP_PREFIX));
+            found.push((timestamp.unwrap_or_default().to_owned(), name.clone(), line));
         }
     }
     Ok(())
