--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -1,4 +1,5 @@
-//! Bytes and text from strangers: no panic, no large allocation, clear errors.
+//! Tests that untrusted bytes and text cause no panic and no large allocation,
+//! and yield errors that name the cause.
 
 use proptest::prelude::*;
 use wisteriaturn::config::change::Change;
@@ -34,7 +35,7 @@
     }
 
     #[test]
-    fn no_prefix_of_a_good_message_decodes(cut in 0..8_usize, nonce in any::<u64>()) {
+    fn no_strict_prefix_or_extension_of_a_message_decodes(cut in 0..8_usize, nonce in any::<u64>()) {
         let datagram = Datagram::IndirectAck { nonce };
         let bytes = encode(&datagram).expect("a message");
         prop_assert_eq!(decode::<Datagram>(&bytes), Ok(datagram));
@@ -46,7 +47,7 @@
     }
 
     #[test]
-    fn a_frame_of_any_size_comes_back(length in 0..4 * MIN_COMPRESSED_BYTES, cut in 1..64_usize) {
+    fn a_frame_of_any_size_round_trips(length in 0..4 * MIN_COMPRESSED_BYTES, cut in 1..64_usize) {
         let answer = PeerAnswer::Snapshot(vec![7; length].into());
         let frame = encode_frame(&answer).expect("a frame");
         prop_assert!(frame.len() <= MIN_COMPRESSED_BYTES, "{} bytes of one kind", frame.len());
@@ -56,19 +57,19 @@
     }
 
     #[test]
-    fn only_a_known_key_opens_a_message(
+    fn only_messages_sealed_with_a_known_key_open(
         message in prop::collection::vec(any::<u8>(), 0..64),
         flip in 0..80_usize,
     ) {
         let keys = MeshKeys::derive(["a new secret of the mesh", "an old secret of the mesh"]);
         let old = MeshKeys::derive(["an old secret of the mesh"]);
-        let other = MeshKeys::derive(["a secret of somebody else"]);
+        let foreign = MeshKeys::derive(["a secret of somebody else"]);
         let from_old = old.seal(message.clone());
         prop_assert_eq!(keys.open(&from_old), Ok(message.as_slice()));
-        prop_assert!(keys.open(&other.seal(message.clone())).is_err());
+        prop_assert!(keys.open(&foreign.seal(message.clone())).is_err());
         let mut sealed = keys.seal(message).to_vec();
-        let place = flip % sealed.len();
-        sealed[place] ^= 1;
+        let index = flip % sealed.len();
+        sealed[index] ^= 1;
         prop_assert!(keys.open(&sealed).is_err());
     }
 
@@ -81,8 +82,8 @@
 }
 
 #[test]
-fn a_huge_length_takes_no_memory() {
-    // A list that claims 2^60 records in a message of a few bytes.
+fn a_huge_list_length_allocates_nothing() {
+    // A message of a few bytes whose list length claims 2^60 records.
     let mut bytes = vec![5, 0];
     bytes.extend([0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x0f]);
     assert!(decode::<PeerAnswer>(&bytes).is_err());
@@ -90,15 +91,15 @@
 }
 
 #[test]
-fn a_frame_that_claims_too_much_takes_no_memory() {
+fn a_frame_with_an_excessive_length_allocates_nothing() {
     let mut frame = vec![1];
     frame.extend(u32::MAX.to_be_bytes());
     frame.extend([0; 16]);
-    let refused = CodecError::TooLarge {
+    let too_large = CodecError::TooLarge {
         length: u32::MAX as usize,
         limit: MAX_FRAME_BYTES,
     };
-    assert_eq!(decode_frame::<PeerAnswer>(&frame), Err(refused));
+    assert_eq!(decode_frame::<PeerAnswer>(&frame), Err(too_large));
     assert_eq!(
         decode_frame::<PeerAnswer>(&[9]),
         Err(CodecError::UnknownFormat(9))
@@ -116,7 +117,7 @@
     seed = { "seeds = [\"x\"]", "", "seeds = \"x\"" },
     wrong_type = { "strict = 3", "", "invalid type" },
 )]
-fn a_wrong_setting_is_named(top: &str, ingress: &str, expected: &str) {
+fn the_error_for_an_invalid_setting_names_it(top: &str, ingress: &str, expected: &str) {
     let mut text = format!("{top}\n{TRIAL_SETTINGS}");
     if !ingress.is_empty() {
         text = text.replace("ingress = \"127.0.0.1:7080\"", ingress);
@@ -132,17 +133,14 @@
     read = { "GET", "v1/targets", false },
     change = { "POST", "v1/changes", false },
 )]
-fn only_the_local_target_speaks_for_itself(method: &str, path: &str, requires_loopback: bool) {
-    let parts: Vec<&str> = path.split('/').collect();
+fn writes_to_targets_require_loopback(method: &str, path: &str, expected: bool) {
+    let segments: Vec<&str> = path.split('/').collect();
     let method = method.parse().expect("a method");
-    assert_eq!(
-        admin::port::requires_loopback(&method, &parts),
-        requires_loopback
-    );
+    assert_eq!(admin::port::requires_loopback(&method, &segments), expected);
 }
 
 #[test]
-fn a_secret_is_long_enough_and_stays_out_of_messages() {
+fn a_short_mesh_secret_is_rejected_and_not_shown() {
     let text = TRIAL_SETTINGS.replace("a secret for the trial only", "short");
     let error = text.parse::<NodeSettings>().expect_err("not allowed");
     assert!(matches!(
@@ -156,7 +154,7 @@
 }
 
 #[test]
-fn keys_live_no_longer_than_half_the_retention() {
+fn log_retention_must_be_twice_the_key_lifetime() {
     let text = format!("{TRIAL_SETTINGS}retention_s = 100\n");
     let error = text.parse::<NodeSettings>().expect_err("not allowed");
     assert!(error.to_string().contains("log.retention_s"), "{error}");
@@ -168,18 +166,22 @@
     other_port = { "a secret of the mesh", PortUse::Peer, false },
 )]
 #[test_macro(tokio::test)]
-async fn a_handshake_needs_the_key_and_the_port(secret: &str, port: PortUse, is_good: bool) {
-    let (mut near, mut far) = tokio::io::duplex(256);
-    let ours = MeshKeys::derive(["a secret of the mesh"]);
-    let theirs = MeshKeys::derive([secret]);
-    let life = wisteriaturn::ids::BootId(9);
-    let accepting = tokio::spawn(async move {
-        handshake::accept(&mut far, &ours, PortUse::Hop, life)
+async fn a_handshake_succeeds_only_with_the_right_key_and_port(
+    secret: &str,
+    port: PortUse,
+    is_accepted: bool,
+) {
+    let (mut client, mut server) = tokio::io::duplex(256);
+    let server_keys = MeshKeys::derive(["a secret of the mesh"]);
+    let client_keys = MeshKeys::derive([secret]);
+    let boot_id = wisteriaturn::ids::BootId(9);
+    let server_task = tokio::spawn(async move {
+        handshake::accept(&mut server, &server_keys, PortUse::Hop, boot_id)
             .await
             .is_ok()
     });
-    let connected = handshake::connect(&mut near, &theirs, port).await;
-    drop(near);
-    assert_eq!(connected.ok(), is_good.then_some(life));
-    assert_eq!(accepting.await.expect("no panic"), is_good);
+    let connected = handshake::connect(&mut client, &client_keys, port).await;
+    drop(client);
+    assert_eq!(connected.ok(), is_accepted.then_some(boot_id));
+    assert_eq!(server_task.await.expect("no panic"), is_accepted);
 }
--- a/tests/integration/process_config.rs
+++ b/tests/integration/process_config.rs
@@ -1,32 +1,32 @@
-//! Configuration under failure: bad batches, races, outages of the log,
-//! restarts with and without it.
+//! Tests of configuration changes under failure: invalid batches, concurrent
+//! writers, outages of the log, and restarts with and without the log.
 
 use eyre::Result;
 use serde_json::{Value, json};
 use wisteriaturn_testing::client;
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 
-fn service(name: &str) -> Value {
+fn put_service(name: &str) -> Value {
     json!({ "put": { "kind": "service", "name": name, "permit": ["127.0.0.0/8"] } })
 }
 
-fn route(name: &str, service: &str) -> Value {
+fn put_route(name: &str, service: &str) -> Value {
     json!({ "put": { "kind": "route", "name": name, "path": format!("/{name}"),
         "services": [{ "service": service }] } })
 }
 
-async fn resources(cluster: &TestCluster, index: usize) -> Value {
+async fn get_resources(cluster: &TestCluster, index: usize) -> Value {
     let reply = client::get(cluster.admin(index), "/v1/resources").await;
     reply.map(|reply| reply.json()).unwrap_or_default()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_bad_batch_changes_nothing_on_any_node() -> Result<()> {
+async fn a_batch_with_an_invalid_operation_is_rejected_as_a_whole() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan::default()).await?;
     cluster.add_service("portal", json!({})).await?;
-    let before = resources(&cluster, 0).await["resources"].clone();
+    let before = get_resources(&cluster, 0).await["resources"].clone();
 
-    let batch = json!([service("extra"), route("stray", "nowhere")]);
+    let batch = json!([put_service("extra"), put_route("stray", "nowhere")]);
     let reply = cluster.apply(1, batch).await?;
 
     assert_eq!(reply.status, 422, "{}", reply.text());
@@ -34,19 +34,19 @@
     let version = reply.json()["version"].as_u64().unwrap_or_default();
     cluster.wait_version(version).await?;
     for index in 0..3 {
-        assert_eq!(resources(&cluster, index).await["resources"], before);
+        assert_eq!(get_resources(&cluster, index).await["resources"], before);
     }
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_racing_operators_one_wins_everywhere() -> Result<()> {
+async fn of_concurrent_writers_one_wins_on_every_node() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan::default()).await?;
     cluster.add_service("portal", json!({})).await?;
-    let held = client::get(cluster.admin(0), "/v1/services/portal").await?;
-    let revision = held.json()["revision"].as_u64().unwrap_or_default();
-    assert_eq!(held.header("etag"), format!("\"{revision}\""));
+    let current = client::get(cluster.admin(0), "/v1/services/portal").await?;
+    let revision = current.json()["revision"].as_u64().unwrap_or_default();
+    assert_eq!(current.header("etag"), format!("\"{revision}\""));
 
     let mut writers = Vec::new();
     for index in 0..3 {
@@ -58,11 +58,11 @@
         }));
     }
     let mut statuses = Vec::new();
-    let mut last = 0;
+    let mut last_version = 0;
     for writer in writers {
         let reply = writer.await??;
         statuses.push(reply.status);
-        last = last.max(reply.json()["version"].as_u64().unwrap_or_default());
+        last_version = last_version.max(reply.json()["version"].as_u64().unwrap_or_default());
         if reply.status == 409 {
             assert!(
                 reply
@@ -73,24 +73,24 @@
     }
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 409, 409]);
-    cluster.wait_version(last).await?;
-    let first = resources(&cluster, 0).await;
-    assert_eq!(resources(&cluster, 1).await, first);
-    assert_eq!(resources(&cluster, 2).await, first);
+    cluster.wait_version(last_version).await?;
+    let expected = get_resources(&cluster, 0).await;
+    assert_eq!(get_resources(&cluster, 1).await, expected);
+    assert_eq!(get_resources(&cluster, 2).await, expected);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_or_late_append_is_settled_by_reading() -> Result<()> {
+async fn the_outcome_of_a_lost_or_late_append_is_found_by_reading() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan::default()).await?;
     cluster.set_log(r#"{"lose_answers":1}"#).await?;
-    let reply = cluster.apply(0, json!([service("lost")])).await?;
+    let reply = cluster.apply(0, json!([put_service("lost")])).await?;
     assert_eq!(reply.status, 200, "{}", reply.text());
     cluster
         .set_log(r#"{"late_appends":1,"late_ms":700}"#)
         .await?;
-    let reply = cluster.apply(1, json!([service("late")])).await?;
+    let reply = cluster.apply(1, json!([put_service("late")])).await?;
     assert_eq!(reply.status, 200, "{}", reply.text());
     let version = reply.json()["version"].as_u64().unwrap_or_default();
     assert_eq!(version, 2);
@@ -100,14 +100,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_log_stops_only_changes() -> Result<()> {
+async fn an_outage_of_the_log_blocks_changes_but_not_calls() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan::default()).await?;
     cluster.add_service("portal", json!({})).await?;
     cluster.start_target(0, "portal", 6)?;
     cluster.wait_targets(2, "portal", 1).await?;
     cluster.set_log(r#"{"outage":true}"#).await?;
 
-    let reply = cluster.apply(0, json!([service("later")])).await?;
+    let reply = cluster.apply(0, json!([put_service("later")])).await?;
     assert_eq!(reply.status, 504, "{}", reply.text());
     let id = reply.json()["change_id"]
         .as_str()
@@ -115,23 +115,23 @@
         .to_owned();
     let call = client::get(cluster.ingress(2), "/portal/x").await?;
     assert_eq!((call.status, call.outcome()), (200, "done"));
-    // A node that starts now gets its view from two ready peers.
+    // A node that starts during the outage gets its view from two ready peers.
     cluster.kill_node(1);
     cluster.start_node(1)?;
     cluster.wait_node_ready(1).await?;
     assert_eq!(cluster.status(1).await["version"], json!(1));
 
-    // The same change id may be sent again: it is folded once at most.
+    // A change can be sent again with its id, because it is folded at most once.
     cluster.set_log("{}").await?;
-    let body = json!({ "change_id": id, "operations": [service("later")] }).to_string();
-    let again = client::post(cluster.admin(0), "/v1/changes", &body).await?;
-    assert_eq!(again.status, 200, "{}", again.text());
+    let body = json!({ "change_id": id, "operations": [put_service("later")] }).to_string();
+    let retried = client::post(cluster.admin(0), "/v1/changes", &body).await?;
+    assert_eq!(retried.status, 200, "{}", retried.text());
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_herd_restart_waits_for_the_log_and_forgets_nothing() -> Result<()> {
+async fn a_restart_of_all_nodes_waits_for_the_log_and_restores_the_view() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 4,
         places: 2,
@@ -151,8 +151,9 @@
             reply.is_ok_and(|reply| reply.json()["next"].as_u64() >= Some(1))
         })
         .await?;
-    let before = resources(&cluster, 0).await;
-    // What the snapshot holds is no longer kept.
+    let before = get_resources(&cluster, 0).await;
+    // Trim the records that the snapshot covers, so that only the snapshot can
+    // restore them.
     cluster
         .set_log(r#"{"outage":true,"trim":{"config":3}}"#)
         .await?;
@@ -174,7 +175,7 @@
     cluster.set_log("{}").await?;
     cluster.wait_ready().await?;
     for index in 0..4 {
-        assert_eq!(resources(&cluster, index).await, before);
+        assert_eq!(get_resources(&cluster, index).await, before);
     }
     cluster.remove_folder();
     Ok(())
@@ -184,13 +185,13 @@
 async fn a_change_too_large_for_a_datagram_is_pulled() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan {
         nodes: 6,
-        // Neither probes nor a later change bring it.
+        // Rules out that probes or a later change deliver the record instead.
         tuning: "probe_interval_ms = 60000".to_owned(),
         ..ClusterPlan::default()
     })
     .await?;
     let batch: Vec<Value> = (0..100)
-        .map(|number| service(&format!("service-{number}")))
+        .map(|number| put_service(&format!("service-{number}")))
         .collect();
     let version = cluster.apply_accepted(0, json!(batch)).await?;
     cluster.wait_version(version).await?;
@@ -199,7 +200,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn only_relays_read_the_log_when_nothing_happens() -> Result<()> {
+async fn only_relays_read_the_log_of_an_idle_mesh() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan {
         nodes: 10,
         places: 2,
@@ -207,7 +208,8 @@
     })
     .await?;
     cluster.add_service("portal", json!({})).await?;
-    // Two relays in each of two data centres wait for the next record.
+    // Two relays in each of the two data centres hold a read open for the next
+    // record.
     cluster
         .wait("four nodes to read the log", async || {
             let usage = client::get(cluster.log_address(), "/behaviour").await;
@@ -219,7 +221,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_was_frozen_or_killed_catches_up_and_never_goes_back() -> Result<()> {
+async fn a_node_that_was_paused_or_killed_catches_up_without_regressing() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 5,
         places: 2,
@@ -231,7 +233,9 @@
     let mut version = 0;
     for number in 0..5 {
         let name = format!("service-{number}");
-        version = cluster.apply_accepted(0, json!([service(&name)])).await?;
+        version = cluster
+            .apply_accepted(0, json!([put_service(&name)]))
+            .await?;
     }
     cluster.node(4).signal("CONT");
     cluster.start_node(3)?;
--- a/tests/integration/process_input.rs
+++ b/tests/integration/process_input.rs
@@ -1,4 +1,4 @@
-//! Bad input from callers, operators and targets.
+//! Tests of malformed and forbidden input from callers, operators and targets.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -12,10 +12,12 @@
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 use wisteriaturn_testing::process::program;
 
-/// Sends raw bytes and returns all that comes back until the other side closes.
+/// Sends raw bytes and returns everything received until the server closes the
+/// connection.
 async fn send_raw(address: SocketAddr, bytes: &[u8]) -> Result<String> {
     let mut stream = TcpStream::connect(address).await?;
-    // A server that refuses early may close before all is written.
+    // A server that rejects the request early may close before all bytes are
+    // written.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
@@ -23,7 +25,7 @@
     Ok(String::from_utf8_lossy(&answer).into_owned())
 }
 
-async fn one_node() -> Result<TestCluster> {
+async fn start_cluster_with_target() -> Result<TestCluster> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         tuning: "max_body_bytes = 1000000".to_owned(),
@@ -37,17 +39,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_requests_are_refused_and_harm_nobody() -> Result<()> {
-    let mut cluster = one_node().await?;
+async fn malformed_requests_are_rejected_and_later_calls_succeed() -> Result<()> {
+    let mut cluster = start_cluster_with_target().await?;
     let ingress = cluster.ingress(1);
-    let long = "x".repeat(70_000);
-    let many: String = (0..120).map(|number| format!("h{number}: x\r\n")).collect();
+    let long_value = "x".repeat(70_000);
+    let many_headers: String = (0..120).map(|number| format!("h{number}: x\r\n")).collect();
     let close = "connection: close\r\n";
     let requests = [
         "nonsense\r\n\r\n".to_owned(),
-        format!("GET /{long} HTTP/1.1\r\nhost: x\r\n{close}\r\n"),
-        format!("GET /portal HTTP/1.1\r\nhost: x\r\nbig: {long}\r\n{close}\r\n"),
-        format!("GET /portal HTTP/1.1\r\nhost: x\r\n{many}{close}\r\n"),
+        format!("GET /{long_value} HTTP/1.1\r\nhost: x\r\n{close}\r\n"),
+        format!("GET /portal HTTP/1.1\r\nhost: x\r\nbig: {long_value}\r\n{close}\r\n"),
+        format!("GET /portal HTTP/1.1\r\nhost: x\r\n{many_headers}{close}\r\n"),
         format!("GET /portal HTTP/1.1\r\nhost: x\r\nhost: y\r\n{close}\r\n"),
         format!("GET /portal HTTP/1.1\r\n{close}\r\n"),
         format!(
@@ -65,23 +67,25 @@
     for request in requests {
         let answer = send_raw(ingress, request.as_bytes()).await?;
         let status = answer.get(9..12).unwrap_or("");
-        let head: String = request.chars().take(60).collect();
+        let start: String = request.chars().take(60).collect();
         assert!(
             answer.is_empty() || status.starts_with('4'),
-            "{head:?}: {answer}"
+            "{start:?}: {answer}"
         );
         assert!(!cluster.has_crashed());
     }
-    let good = client::get(ingress, "/portal").await?;
-    assert_eq!(good.outcome(), "done");
+    let reply = client::get(ingress, "/portal").await?;
+    assert_eq!(reply.outcome(), "done");
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_framings_never_make_two_requests() -> Result<()> {
-    let cluster = one_node().await?;
-    // A second request hides in the body; only one reader would see it.
+async fn conflicting_framing_headers_cannot_smuggle_a_request() -> Result<()> {
+    let cluster = start_cluster_with_target().await?;
+    // A smuggled request hides in the body: a reader that goes by
+    // `transfer-encoding` ends the body at the empty chunk and sees a second
+    // request there; one that goes by `content-length` does not.
     let smuggled = "POST /portal HTTP/1.1\r\nhost: x\r\nx-run: front\r\ncontent-length: 6\r\n\
          transfer-encoding: chunked\r\nconnection: close\r\n\r\n0\r\n\r\n\
          GET /portal HTTP/1.1\r\nhost: x\r\nx-run: smuggled\r\n\r\n";
@@ -93,8 +97,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn headers_of_the_mesh_are_not_believed_from_a_caller() -> Result<()> {
-    let cluster = one_node().await?;
+async fn mesh_headers_from_a_caller_are_not_trusted() -> Result<()> {
+    let cluster = start_cluster_with_target().await?;
     let headers = [
         ("wisteriaturn-call", "00000000000000000000000000000001"),
         ("wisteriaturn-service", "other"),
@@ -107,19 +111,19 @@
     ];
     let reply = client::send(cluster.ingress(1), "GET", "/portal", &headers, b"").await?;
     assert_eq!(reply.outcome(), "done", "{}", reply.text());
-    let seen = reply.json()["headers"].to_string();
-    assert!(seen.contains("x-public"), "{seen}");
-    for hidden in [
+    let forwarded = reply.json()["headers"].to_string();
+    assert!(forwarded.contains("x-public"), "{forwarded}");
+    for removed in [
         "x-private",
         "proxy-authorization",
         "wisteriaturn-ask",
         "wisteriaturn-service",
     ] {
-        assert!(!seen.contains(hidden), "{seen}");
+        assert!(!forwarded.contains(removed), "{forwarded}");
     }
-    let absolute = "GET http://portal.example/portal/a?b=c HTTP/1.1\r\nhost: x\r\n\
+    let absolute_form = "GET http://portal.example/portal/a?b=c HTTP/1.1\r\nhost: x\r\n\
          connection: close\r\n\r\n";
-    let answer = send_raw(cluster.ingress(1), absolute.as_bytes()).await?;
+    let answer = send_raw(cluster.ingress(1), absolute_form.as_bytes()).await?;
     assert!(answer.contains("\"path\":\"/portal/a?b=c\""), "{answer}");
     cluster.remove_folder();
     Ok(())
@@ -127,7 +131,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_is_announced_only_as_its_service_permits() -> Result<()> {
-    let cluster = one_node().await?;
+    let cluster = start_cluster_with_target().await?;
     let operations = json!([{ "put": { "kind": "service", "name": "closed",
         "permit": ["10.0.0.0/8"], "max_slots": 4 } }]);
     let version = cluster.apply_accepted(0, operations).await?;
@@ -155,8 +159,8 @@
     cluster.wait_version(version).await?;
     let (status, text) = announce("narrow", "127.0.0.1:9", 4).await?;
     assert!(status == 422 && text.contains("1 to 3"), "{status} {text}");
-    let unknown = r#"{"service":"portal","address":"127.0.0.1:9","slots":1,"wheels":4}"#;
-    let reply = client::post(cluster.admin(1), "/v1/targets", unknown).await?;
+    let unknown_field = r#"{"service":"portal","address":"127.0.0.1:9","slots":1,"wheels":4}"#;
+    let reply = client::post(cluster.admin(1), "/v1/targets", unknown_field).await?;
     assert!(
         reply.status == 400 && reply.text().contains("wheels"),
         "{}",
@@ -167,7 +171,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn writes_need_the_token_and_say_what_is_wrong() -> Result<()> {
+async fn writes_require_the_token_and_errors_name_the_cause() -> Result<()> {
     let mut cluster = TestCluster::prepare(ClusterPlan {
         nodes: 1,
         ..ClusterPlan::default()
@@ -178,14 +182,21 @@
     cluster.start_log()?;
     cluster.start_node(0)?;
     cluster.wait_ready().await?;
-    let good = json!({ "operations": [{ "put": { "kind": "service", "name": "a",
+    let valid_change = json!({ "operations": [{ "put": { "kind": "service", "name": "a",
         "permit": [] } }] })
     .to_string();
     let admin = cluster.admin(0);
-    let refused = client::post(admin, "/v1/changes", &good).await?;
+    let refused = client::post(admin, "/v1/changes", &valid_change).await?;
     assert_eq!(refused.status, 401);
     let token = [("authorization", "Bearer letmein")];
-    let accepted = client::send(admin, "POST", "/v1/changes", &token, good.as_bytes()).await?;
+    let accepted = client::send(
+        admin,
+        "POST",
+        "/v1/changes",
+        &token,
+        valid_change.as_bytes(),
+    )
+    .await?;
     assert_eq!(accepted.status, 200, "{}", accepted.text());
     for (body, expected) in [
         ("{", "EOF"),
@@ -219,10 +230,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_programs_name_what_is_wrong_and_use_their_exit_codes() -> Result<()> {
-    let cluster = one_node().await?;
-    let settings = cluster.folder.join("wrong.toml");
-    std::fs::write(&settings, "regoin = \"x\"\n")?;
+async fn command_line_errors_name_the_cause_and_set_the_exit_code() -> Result<()> {
+    let cluster = start_cluster_with_target().await?;
+    let invalid_settings = cluster.folder.join("wrong.toml");
+    std::fs::write(&invalid_settings, "regoin = \"x\"\n")?;
     let run = |name: &str, arguments: &[&str]| -> Result<(Option<i32>, String)> {
         let output = Command::new(program(name)?).args(arguments).output()?;
         let text = [output.stdout, output.stderr].concat();
@@ -231,33 +242,33 @@
             String::from_utf8_lossy(&text).into_owned(),
         ))
     };
-    let path = settings.display().to_string();
+    let path = invalid_settings.display().to_string();
     let (code, text) = run("wisteriaturnd", &["--check", "--config", &path])?;
     assert!(
         code == Some(2) && text.contains("regoin"),
         "{code:?} {text}"
     );
-    let good = cluster.settings(0).display().to_string();
-    let (code, _) = run("wisteriaturnd", &["--check", "--config", &good])?;
+    let valid_settings = cluster.settings(0).display().to_string();
+    let (code, _) = run("wisteriaturnd", &["--check", "--config", &valid_settings])?;
     assert_eq!(code, Some(0));
     let node = cluster.admin(0).to_string();
-    let file = cluster.folder.join("bad.toml").display().to_string();
+    let change_file = cluster.folder.join("bad.toml").display().to_string();
     std::fs::write(
-        &file,
+        &change_file,
         "[[route]]\nname = \"x\"\npath = \"/x\"\nservices = [{ service = \"y\" }]\n",
     )?;
-    let (code, text) = run("wisteriaturn", &["--node", &node, "check", &file])?;
+    let (code, text) = run("wisteriaturn", &["--node", &node, "check", &change_file])?;
     assert!(
         code == Some(1) && text.contains("service/y"),
         "{code:?} {text}"
     );
-    let (code, text) = run("wisteriaturn", &["--node", &node, "apply", &file])?;
+    let (code, text) = run("wisteriaturn", &["--node", &node, "apply", &change_file])?;
     assert!(
         code == Some(1) && text.contains("service/y"),
         "{code:?} {text}"
     );
-    std::fs::write(&file, "[[wheel]]\n")?;
-    let (code, text) = run("wisteriaturn", &["--node", &node, "apply", &file])?;
+    std::fs::write(&change_file, "[[wheel]]\n")?;
+    let (code, text) = run("wisteriaturn", &["--node", &node, "apply", &change_file])?;
     assert!(code == Some(2) && text.contains("wheel"), "{code:?} {text}");
     let (code, text) = run("wisteriaturn", &["--node", &node, "explain", "/portal/x"])?;
     assert!(
@@ -272,8 +283,8 @@
         "{code:?} {text}"
     );
     cluster.set_log(r#"{"outage":true}"#).await?;
-    std::fs::write(&file, "[[service]]\nname = \"late\"\npermit = []\n")?;
-    let (code, text) = run("wisteriaturn", &["--node", &node, "apply", &file])?;
+    std::fs::write(&change_file, "[[service]]\nname = \"late\"\npermit = []\n")?;
+    let (code, text) = run("wisteriaturn", &["--node", &node, "apply", &change_file])?;
     assert!(
         code == Some(3) && text.contains("wisteriaturn change "),
         "{code:?} {text}"
