--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -5,21 +5,23 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use serde_json::json;
-use wisteriaturn::config::change::{Change, Expectation, Operation};
+use wisteriaturn::config::change::{Change, Operation, Precondition};
 use wisteriaturn::config::fold::ConfigState;
 use wisteriaturn::config::resource::{PolicySpec, Resource};
 use wisteriaturn::config::snapshot::{decode_snapshot, encode_snapshot};
 use wisteriaturn::config::view::{ConfigView, ServingView};
-use wisteriaturn::gate::claim::{ClaimBatch, ClaimFold, ClaimHolder, ClaimItem, KEY_LIMIT};
+use wisteriaturn::gate::claim::{
+    ClaimBatch, ClaimHolder, ClaimItem, ClaimTable, MAX_KEYS_PER_STREAM,
+};
 use wisteriaturn::ids::{
-    CallId, ChangeId, Incarnation, KeyHash, LifeId, LinkRate, NodeAddress, Sequence, ServiceName,
+    BootId, CallId, ChangeId, Incarnation, KeyHash, LinkRate, NodeAddress, Sequence, ServiceName,
     SlotCount,
 };
 use wisteriaturn::member::record::{MemberRecord, MemberState, TargetRecord, TargetState};
-use wisteriaturn::member::relay::relays;
+use wisteriaturn::member::role::relays;
 use wisteriaturn::member::table::MemberTable;
 use wisteriaturn::peer::message::encode;
-use wisteriaturn::route::choose::{NodePlace, choose_target};
+use wisteriaturn::route::choose::{NodeLocation, choose_target};
 use wisteriaturn::route::load::ServiceLoad;
 
 const NODES: u16 = 1_100;
@@ -43,8 +45,8 @@
         id: ChangeId(id),
         author: "bench".parse().expect("a name"),
         operations: vec![
-            Operation::put(resource(service), Expectation::Any),
-            Operation::put(resource(route), Expectation::Any),
+            Operation::put(resource(service), Precondition::Any),
+            Operation::put(resource(route), Precondition::Any),
         ],
     };
     change.encode().expect("a record").to_vec()
@@ -84,15 +86,15 @@
 }
 
 /// Returns a claim stream with as many live keys as a keeper holds.
-fn many_claims() -> ClaimFold {
-    let mut fold = ClaimFold::default();
-    for first in (0..KEY_LIMIT as u128).step_by(1_000) {
+fn many_claims() -> ClaimTable {
+    let mut fold = ClaimTable::default();
+    for first in (0..MAX_KEYS_PER_STREAM as u128).step_by(1_000) {
         let claim = |key| ClaimItem::Claim {
             key: KeyHash(key),
             holder: ClaimHolder {
                 run: CallId(key),
                 hop: NodeAddress::from(([127, 0, 0, 1], 7082)),
-                life: LifeId(1),
+                boot_id: BootId(1),
             },
         };
         let batch = ClaimBatch {
@@ -105,7 +107,7 @@
         if first == 0 {
             println!("a batch of 1000 claims takes {} bytes", record.len());
         }
-        fold.fold(&record);
+        fold.apply(&record);
     }
     fold
 }
@@ -165,7 +167,7 @@
     let view = ServingView::build(Arc::clone(&config), &members, |_, _| now);
     let name = service_name(7);
     let (targets, policy) = (view.targets(&name), PolicySpec::default_for(name));
-    let place = NodePlace {
+    let place = NodeLocation {
         region: members[0].region.clone(),
         data_centre: members[0].data_centre.clone(),
     };
--- a/src/gate/ledger.rs
+++ b/src/gate/ledger.rs
@@ -1,9 +1,10 @@
-//! What a gate remembers of the calls it was given.
+//! Records the state and the result of the calls that a gate has received.
 //!
-//! A node that loses its exchange with a gate can ask what became of the call.
-//! If the call has not started, asking revokes it: the gate will never start
-//! it, and the asker may truthfully say `not-run`. If it runs or ran, the
-//! asker gets the answer. So a cut link between two nodes loses no call.
+//! A node whose connection to a gate breaks during a call can query the gate
+//! for the call's result. If the call has not started, the query revokes it:
+//! the gate will never start it, so the node can safely report `not-run`. If
+//! the call is running or has finished, the node receives its result. A broken
+//! connection between two nodes therefore loses no call.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -15,66 +16,66 @@
 use crate::clock::{SharedClock, lock};
 use crate::gate::outcome::RefusalReason;
 use crate::ids::CallId;
-use crate::invariant::{Rule, check};
+use crate::invariant::{Invariant, check};
 
-/// How long an answer is kept for a node that lost its exchange.
-pub const ANSWER_TIME: Duration = Duration::from_secs(30);
+/// Time for which an answer is stored for a node whose connection broke.
+pub const ANSWER_RETENTION: Duration = Duration::from_secs(30);
 
-/// How long a revoked call stays revoked. Its request can still sit in a
-/// socket buffer, but not for as long as this.
-pub const REVOKED_TIME: Duration = Duration::from_secs(600);
+/// Time for which a revoked call stays revoked. Its request may still be in a
+/// socket buffer, but not for this long.
+pub const REVOCATION_RETENTION: Duration = Duration::from_secs(600);
 
-/// Most calls remembered.
-pub const LEDGER_LIMIT: usize = 65_536;
+/// Maximum number of calls in the ledger.
+pub const MAX_LEDGER_CALLS: usize = 65_536;
 
-/// Largest answer body kept, in bytes.
-pub const BODY_LIMIT: usize = 256 * 1024;
+/// Maximum size of a stored answer body, in bytes.
+pub const MAX_STORED_BODY_BYTES: usize = 256 * 1024;
 
-/// Most bytes of answers kept.
-pub const KEPT_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum total size of stored answer bodies, in bytes.
+pub const MAX_STORED_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 record! {
-    /// How a call ended.
-    pub enum CallEnd {
+    /// The result of a call.
+    pub enum CallResult {
         /// The target answered.
-        Answered(KeptAnswer),
+        Answered(StoredAnswer),
         /// The call was refused before it started.
         Refused(RefusalReason),
-        /// The exchange with the target was lost after it started.
+        /// The connection to the target broke after the call had started.
         Lost,
-        /// The target answered, but the answer is too large to keep.
+        /// The target answered, but the answer is too large to store.
         TooLarge,
     }
 
-    /// A whole answer.
-    pub struct KeptAnswer {
-        /// HTTP status.
+    /// A complete answer.
+    pub struct StoredAnswer {
+        /// HTTP status code.
         pub status: u16,
-        /// Names and values of the headers.
+        /// Header names and values.
         pub headers: Vec<(Bytes, Bytes)>,
-        /// Body.
+        /// Answer body.
         pub body: Bytes,
     }
 }
 
 #[derive(Debug)]
 enum CallState {
-    Waiting(watch::Receiver<Option<Arc<CallEnd>>>),
+    Waiting(watch::Receiver<Option<Arc<CallResult>>>),
     Revoked,
-    Running(watch::Receiver<Option<Arc<CallEnd>>>),
-    Ended(Arc<CallEnd>),
+    Running(watch::Receiver<Option<Arc<CallResult>>>),
+    Finished(Arc<CallResult>),
 }
 
-/// What a gate knows of a call that it is asked about.
+/// The status of a call, as returned to a node that queries it.
 #[derive(Debug)]
-pub enum CallInquiry {
-    /// The call never started and never will.
+pub enum CallStatus {
+    /// The call has not started and never will.
     NotRun(RefusalReason),
-    /// The call waits or runs; the receiver gets its end.
-    Running(watch::Receiver<Option<Arc<CallEnd>>>),
-    /// The call ended.
-    Ended(Arc<CallEnd>),
-    /// The gate cannot say.
+    /// The call is waiting or running; the receiver yields its result.
+    Running(watch::Receiver<Option<Arc<CallResult>>>),
+    /// The call has finished.
+    Ended(Arc<CallResult>),
+    /// The gate does not know whether the call ran.
     Unknown,
 }
 
@@ -82,24 +83,25 @@
 struct LedgerState {
     calls: HashMap<CallId, CallState>,
     expiry: VecDeque<(Instant, CallId)>,
-    kept: usize,
+    stored_bytes: usize,
 }
 
-/// The calls of one gate; a cheap handle.
+/// The ledger of one gate's calls. Clones are cheap and share the ledger.
 #[derive(Debug, Clone)]
 pub struct CallLedger {
     state: Arc<Mutex<LedgerState>>,
     clock: SharedClock,
 }
 
-/// A call that was entered; entering ends when it is dropped unstarted.
+/// Guard for a registered call. A call that is dropped before it was started
+/// is recorded as revoked, one that is dropped later as lost.
 #[derive(Debug)]
 pub struct CallTicket {
     ledger: CallLedger,
     call: CallId,
-    sender: watch::Sender<Option<Arc<CallEnd>>>,
+    sender: watch::Sender<Option<Arc<CallResult>>>,
     is_started: bool,
-    is_ended: bool,
+    is_finished: bool,
 }
 
 impl CallLedger {
@@ -111,19 +113,19 @@
         }
     }
 
-    /// Enters a call.
+    /// Registers a call.
     ///
     /// # Errors
     ///
-    /// [`RefusalReason::Revoked`] when the call was revoked or entered before,
-    /// [`RefusalReason::Saturated`] when the ledger is full.
-    pub fn enter(&self, call: CallId) -> Result<CallTicket, RefusalReason> {
+    /// Returns [`RefusalReason::Revoked`] if the call was revoked or registered
+    /// before and [`RefusalReason::Saturated`] if the ledger is full.
+    pub fn register(&self, call: CallId) -> Result<CallTicket, RefusalReason> {
         let mut state = lock(&self.state);
         state.expire(self.clock.now());
         if state.calls.contains_key(&call) {
             return Err(RefusalReason::Revoked);
         }
-        if state.calls.len() >= LEDGER_LIMIT {
+        if state.calls.len() >= MAX_LEDGER_CALLS {
             return Err(RefusalReason::Saturated);
         }
         let (sender, receiver) = watch::channel(None);
@@ -133,87 +135,91 @@
             call,
             sender,
             is_started: false,
-            is_ended: false,
+            is_finished: false,
         })
     }
 
-    /// Asks about a call and revokes it if it has not started.
-    pub fn revoke(&self, call: CallId) -> CallInquiry {
+    /// Returns the status of a call and revokes the call if it has not started.
+    pub fn revoke(&self, call: CallId) -> CallStatus {
         let now = self.clock.now();
         let mut state = lock(&self.state);
         state.expire(now);
-        let is_full = state.calls.len() >= LEDGER_LIMIT;
+        let is_full = state.calls.len() >= MAX_LEDGER_CALLS;
         match state.calls.get(&call) {
-            Some(CallState::Running(receiver)) => return CallInquiry::Running(receiver.clone()),
-            Some(CallState::Ended(end)) => return ended(end),
-            Some(CallState::Revoked) => return CallInquiry::NotRun(RefusalReason::Revoked),
+            Some(CallState::Running(receiver)) => return CallStatus::Running(receiver.clone()),
+            Some(CallState::Finished(result)) => return status_of(result),
+            Some(CallState::Revoked) => return CallStatus::NotRun(RefusalReason::Revoked),
             Some(CallState::Waiting(_)) => {}
-            None if is_full => return CallInquiry::Unknown,
+            None if is_full => return CallStatus::Unknown,
             None => {}
         }
         state.calls.insert(call, CallState::Revoked);
-        state.expiry.push_back((now + REVOKED_TIME, call));
-        CallInquiry::NotRun(RefusalReason::Revoked)
+        state.expiry.push_back((now + REVOCATION_RETENTION, call));
+        CallStatus::NotRun(RefusalReason::Revoked)
     }
 
-    /// Asks about a call without revoking it. A call that the ledger does not
-    /// know may have run and been forgotten.
-    pub fn inquire(&self, call: CallId) -> CallInquiry {
+    /// Returns the status of a call without revoking it. The status of a call
+    /// that is not in the ledger is unknown, since it may have run and expired.
+    pub fn status(&self, call: CallId) -> CallStatus {
         match lock(&self.state).calls.get(&call) {
             Some(CallState::Waiting(receiver) | CallState::Running(receiver)) => {
-                CallInquiry::Running(receiver.clone())
+                CallStatus::Running(receiver.clone())
             }
-            Some(CallState::Ended(end)) => ended(end),
-            Some(CallState::Revoked) => CallInquiry::NotRun(RefusalReason::Revoked),
-            None => CallInquiry::Unknown,
+            Some(CallState::Finished(result)) => status_of(result),
+            Some(CallState::Revoked) => CallStatus::NotRun(RefusalReason::Revoked),
+            None => CallStatus::Unknown,
         }
     }
 }
 
-fn ended(end: &Arc<CallEnd>) -> CallInquiry {
-    match end.as_ref() {
-        CallEnd::Refused(reason) => CallInquiry::NotRun(*reason),
-        CallEnd::Answered(_) | CallEnd::Lost | CallEnd::TooLarge => {
-            CallInquiry::Ended(Arc::clone(end))
+fn status_of(result: &Arc<CallResult>) -> CallStatus {
+    match result.as_ref() {
+        CallResult::Refused(reason) => CallStatus::NotRun(*reason),
+        CallResult::Answered(_) | CallResult::Lost | CallResult::TooLarge => {
+            CallStatus::Ended(Arc::clone(result))
         }
     }
 }
 
 impl LedgerState {
+    /// Removes the calls that have expired and, while the ledger is at least
+    /// half full, also results that have not expired yet. Revocations always
+    /// stay until they expire.
     fn expire(&mut self, now: Instant) {
-        while let Some((when, call)) = self.expiry.front().copied() {
-            // Revoked calls wait longer than answers, so the queue is not in
-            // strict order; what is found late only stays a little longer.
-            if when > now && self.calls.len() < LEDGER_LIMIT / 2 {
+        while let Some((expires, call)) = self.expiry.front().copied() {
+            // Revocations are retained for longer than answers, so the queue is
+            // not strictly ordered by expiry. An entry behind one that expires
+            // later is only retained a little longer.
+            if expires > now && self.calls.len() < MAX_LEDGER_CALLS / 2 {
                 return;
             }
-            if when > now && matches!(self.calls.get(&call), Some(CallState::Revoked)) {
+            if expires > now && matches!(self.calls.get(&call), Some(CallState::Revoked)) {
                 return;
             }
             self.expiry.pop_front();
-            if let Some(CallState::Ended(end)) = self.calls.remove(&call) {
-                self.kept -= kept_bytes(&end);
+            if let Some(CallState::Finished(result)) = self.calls.remove(&call) {
+                self.stored_bytes -= stored_bytes(&result);
             }
         }
     }
 }
 
-fn kept_bytes(end: &CallEnd) -> usize {
-    match end {
-        CallEnd::Answered(answer) => answer.body.len(),
-        CallEnd::Refused(_) | CallEnd::Lost | CallEnd::TooLarge => 0,
+fn stored_bytes(result: &CallResult) -> usize {
+    match result {
+        CallResult::Answered(answer) => answer.body.len(),
+        CallResult::Refused(_) | CallResult::Lost | CallResult::TooLarge => 0,
     }
 }
 
 impl CallTicket {
-    /// Starts the call: from here on it counts as run.
+    /// Marks the call as started. From here on it may have run.
     ///
     /// # Errors
     ///
-    /// [`RefusalReason::Revoked`] when the call was revoked while it waited.
+    /// Returns [`RefusalReason::Revoked`] if the call was revoked while it waited.
     pub fn start(&mut self) -> Result<(), RefusalReason> {
         let mut state = lock(&self.ledger.state);
-        check(Rule::SentOnce, !self.is_started);
+        check(Invariant::SentOnce, !self.is_started);
         let Some(CallState::Waiting(receiver)) = state.calls.get(&self.call) else {
             return Err(RefusalReason::Revoked);
         };
@@ -223,52 +229,57 @@
         Ok(())
     }
 
-    /// Ends the call and keeps its end for those who ask.
-    pub fn end(mut self, end: CallEnd) {
-        self.end_with(end);
+    /// Finishes the call and stores its result for nodes that query it.
+    pub fn finish(mut self, result: CallResult) {
+        self.finish_with(result);
     }
 
-    /// Ends a started call of which its target said that it did not run it.
-    pub fn end_unrun(mut self, reason: RefusalReason) {
+    /// Finishes a started call that its target reported as not run.
+    pub fn finish_not_run(mut self, reason: RefusalReason) {
         self.is_started = false;
-        self.end_with(CallEnd::Refused(reason));
+        self.finish_with(CallResult::Refused(reason));
     }
 
-    fn end_with(&mut self, end: CallEnd) {
-        self.is_ended = true;
-        let is_refusal = matches!(end, CallEnd::Refused(_));
-        check(Rule::NotRunStays, !(is_refusal && self.is_started));
+    fn finish_with(&mut self, result: CallResult) {
+        self.is_finished = true;
+        let is_refusal = matches!(result, CallResult::Refused(_));
+        check(Invariant::NotRunStays, !(is_refusal && self.is_started));
         let now = self.ledger.clock.now();
         let mut state = lock(&self.ledger.state);
         if matches!(state.calls.get(&self.call), Some(CallState::Revoked)) {
             drop(state);
-            let end = CallEnd::Refused(RefusalReason::Revoked);
-            self.sender.send_replace(Some(Arc::new(end)));
+            let result = CallResult::Refused(RefusalReason::Revoked);
+            self.sender.send_replace(Some(Arc::new(result)));
             return;
         }
-        let is_over = state.kept + kept_bytes(&end) > KEPT_LIMIT;
-        let end = Arc::new(if is_over { CallEnd::TooLarge } else { end });
-        state.kept += kept_bytes(&end);
+        let exceeds_limit = state.stored_bytes + stored_bytes(&result) > MAX_STORED_ANSWER_BYTES;
+        let result = Arc::new(if exceeds_limit {
+            CallResult::TooLarge
+        } else {
+            result
+        });
+        state.stored_bytes += stored_bytes(&result);
         state
             .calls
-            .insert(self.call, CallState::Ended(Arc::clone(&end)));
-        state.expiry.push_back((now + ANSWER_TIME, self.call));
+            .insert(self.call, CallState::Finished(Arc::clone(&result)));
+        state.expiry.push_back((now + ANSWER_RETENTION, self.call));
         drop(state);
-        self.sender.send_replace(Some(end));
+        self.sender.send_replace(Some(result));
     }
 }
 
 impl Drop for CallTicket {
     fn drop(&mut self) {
-        if self.is_ended {
+        if self.is_finished {
             return;
         }
-        // A task that was cancelled: started calls may have run.
-        let end = if self.is_started {
-            CallEnd::Lost
+        // The task that handled the call was cancelled. A started call may
+        // have run.
+        let result = if self.is_started {
+            CallResult::Lost
         } else {
-            CallEnd::Refused(RefusalReason::Revoked)
+            CallResult::Refused(RefusalReason::Revoked)
         };
-        self.end_with(end);
+        self.finish_with(result);
     }
 }
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -10,12 +10,12 @@
 use wisteriaturn::config::resource::{CallClass, PolicySpec};
 use wisteriaturn::config::view::TargetEntry;
 use wisteriaturn::gate::outcome::RefusalReason;
-use wisteriaturn::gate::slots::{QueueRank, SlotDemand, SlotGate};
+use wisteriaturn::gate::slots::{QueueRank, SlotGate, SlotRequest};
 use wisteriaturn::ids::{CallPriority, Incarnation, LinkRate, NodeAddress, RouteName};
 use wisteriaturn::retry::budget::{RetryBudget, RetryLimit};
-use wisteriaturn::route::choose::{NodePlace, TargetChoice};
+use wisteriaturn::route::choose::{NodeLocation, TargetChoice};
+use wisteriaturn::route::cost::{CallRequirements, PlacementRequest, choose_cheapest_target};
 use wisteriaturn::route::load::{AttemptResult, ServiceLoad};
-use wisteriaturn::route::place::{CallDemand, PlacedCall, place_call};
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -37,19 +37,19 @@
     (gate, clock, held.expect("a free slot"))
 }
 
-fn demand(clock: &ManualClock, priority: u8, aim: u64, deadline: u64) -> SlotDemand {
-    SlotDemand {
+fn demand(clock: &ManualClock, priority: u8, aim: u64, deadline: u64) -> SlotRequest {
+    SlotRequest {
         patience: Duration::MAX,
         rank: QueueRank::new(CallClass::Interactive, CallPriority(priority)),
         aim: clock.now() + ms(aim),
         deadline: clock.now() + ms(deadline),
-        run: ms(100),
+        expected_run: ms(100),
     }
 }
 
 async fn wait_in(
     gate: &SlotGate,
-    demand: SlotDemand,
+    demand: SlotRequest,
 ) -> tokio::task::JoinHandle<Option<RefusalReason>> {
     let waiting = gate.load().waiting;
     let other = gate.clone();
@@ -137,9 +137,9 @@
 #[tokio::test]
 async fn a_free_slot_is_never_refused_and_room_is_told() {
     let (gate, clock, held) = busy_gate().await;
-    assert_eq!(gate.load().room_after(), ms(100));
+    assert_eq!(gate.load().expected_wait(), ms(100));
     drop(held);
-    assert_eq!(gate.load().room_after(), Duration::ZERO);
+    assert_eq!(gate.load().expected_wait(), Duration::ZERO);
     let late = demand(&clock, 9, 1, 1_000);
     assert!(
         gate.acquire_for(late).await.is_ok(),
@@ -164,7 +164,7 @@
         for _ in 0..100 {
             for budget in &budgets {
                 for _ in 0..calls_each.div_ceil(100) {
-                    budget.note_call(wisteriaturn::ids::Percent(0));
+                    budget.record_call(wisteriaturn::ids::Percent(0));
                     spent += u32::from(budget.try_take()) + u32::from(budget.try_take());
                 }
                 spent += u32::from(budget.try_take());
@@ -186,7 +186,7 @@
     NodeAddress::from(([127, 0, 0, host], 7083))
 }
 
-fn target(host: u8, region: &str, data_centre: &str, since: Instant) -> TargetEntry {
+fn target(host: u8, region: &str, data_centre: &str, serving_since: Instant) -> TargetEntry {
     TargetEntry {
         node: address(host),
         hop: address(host),
@@ -195,7 +195,7 @@
         data_centre: data_centre.parse().expect("a name"),
         slots: 6,
         link: LinkRate::default(),
-        since,
+        serving_since,
         is_suspect: false,
     }
 }
@@ -226,7 +226,7 @@
     fn fill(&mut self, host: u8, calls: u32) {
         for _ in 0..calls {
             let target = self.targets[usize::from(host) - 1].clone();
-            self.load.begin(&target);
+            self.load.start_attempt(&target);
         }
     }
 
@@ -235,7 +235,7 @@
         let policy = policy();
         for _ in 0..times {
             self.load
-                .note_result(&target, result, ms(100), &policy, 3, self.now);
+                .record_result(&target, result, ms(100), &policy, 3, self.now);
         }
     }
 
@@ -248,24 +248,24 @@
     }
 
     fn place(&mut self, bytes: f64, aim: u64) -> TargetChoice {
-        let demand = CallDemand {
+        let demand = CallRequirements {
             aim: ms(aim),
             deadline: ms(aim * 4),
             answer_bytes: bytes,
             run: ms(160),
         };
-        let place = NodePlace {
+        let place = NodeLocation {
             region: "r1".parse().expect("a name"),
             data_centre: "r1-a".parse().expect("a name"),
         };
         let route = route();
-        let call = PlacedCall {
+        let call = PlacementRequest {
             route: &route,
             demand: &demand,
             tried: &[],
         };
         let policy = policy();
-        place_call(
+        choose_cheapest_target(
             &place,
             &self.targets,
             &policy,
@@ -315,7 +315,7 @@
 #[tokio::test]
 async fn a_call_is_sent_on_when_the_wait_is_longer_than_it_wants() {
     let (gate, clock, held) = busy_gate().await;
-    let patient = |patience: u64| SlotDemand {
+    let patient = |patience: u64| SlotRequest {
         patience: ms(patience),
         ..demand(&clock, 0, 5_000, 10_000)
     };
@@ -353,7 +353,7 @@
 #[test]
 fn large_answers_leave_thin_links_alone() {
     let mut placement = Placement::new();
-    let since = placement.targets[0].since;
+    let since = placement.targets[0].serving_since;
     placement.targets.push(target(4, "r1", "r1-a", since));
     placement.targets[0].link = LinkRate(7_000);
     placement.targets[3].link = LinkRate(140_000);
@@ -396,11 +396,15 @@
     placement.fill(1, 1);
     let now = placement.now;
     let slow = Duration::from_millis(900);
-    placement.load.note_speed(address(1), &route(), slow, now);
+    placement
+        .load
+        .record_run_time(address(1), &route(), slow, now);
     assert_eq!(placement.choose(1_500.0, 500), Some(1));
     // Short calls of another route at the same target say nothing about it.
     let other: RouteName = "lookups".parse().expect("a name");
-    placement.load.note_speed(address(1), &other, ms(5), now);
+    placement
+        .load
+        .record_run_time(address(1), &other, ms(5), now);
     assert_eq!(placement.choose(1_500.0, 500), Some(1));
     placement.now += Duration::from_secs(6);
     assert_eq!(placement.choose(1_500.0, 500), Some(0), "it is tried again");
@@ -409,7 +413,7 @@
 #[test]
 fn calls_spread_over_near_targets_before_one_is_full() {
     let mut placement = Placement::new();
-    let since = placement.targets[0].since;
+    let since = placement.targets[0].serving_since;
     placement.targets.push(target(4, "r1", "r1-a", since));
     placement.fill(1, 4);
     for _ in 0..20 {
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -11,10 +11,10 @@
 
 use serde::Deserialize;
 use wisteriaturn::clock::lock;
-use wisteriaturn::gate::announce::TargetStatement;
+use wisteriaturn::gate::announce::AnnouncementSummary;
 use wisteriaturn::gate::slots::SlotGate;
 use wisteriaturn::ids::{Incarnation, InstanceId, Sequence, ServiceName, SlotCount};
-use wisteriaturn::member::record::{TARGET_LIMIT, TargetDeparture, TargetRecord, TargetState};
+use wisteriaturn::member::record::{MAX_TARGETS, TargetDeparture, TargetRecord, TargetState};
 
 use crate::mesh::news;
 use crate::node::{NodeHandle, NodeStage, NodeState};
@@ -47,8 +47,8 @@
 impl TargetAnnouncement {
     /// Returns what orders this announcement among others, if the target names
     /// itself.
-    fn statement(&self) -> Option<TargetStatement> {
-        Some(TargetStatement {
+    fn statement(&self) -> Option<AnnouncementSummary> {
+        Some(AnnouncementSummary {
             instance: self.instance.clone()?,
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -93,7 +93,7 @@
                 )
             }
             AnnounceError::Stale => write!(f, "a later announcement was taken before"),
-            AnnounceError::Full => write!(f, "a node vouches for at most {TARGET_LIMIT} targets"),
+            AnnounceError::Full => write!(f, "a node vouches for at most {MAX_TARGETS} targets"),
         }
     }
 }
@@ -181,7 +181,7 @@
     let now = node.clock.now();
     check_announcement(node, announcement)?;
     if let Some(statement) = announcement.statement()
-        && !lock(&node.announces).note(statement)
+        && !lock(&node.announces).accept(statement)
     {
         return Err(AnnounceError::Stale);
     }
@@ -207,7 +207,7 @@
     if !service.spec.permits(address.ip()) {
         return Err(AnnounceError::NotPermitted(address));
     }
-    let allowed = service.spec.slot_bound();
+    let allowed = service.spec.effective_max_slots();
     if !(SlotCount(1)..=allowed).contains(&announcement.slots) {
         return Err(AnnounceError::Slots {
             announced: announcement.slots,
@@ -240,7 +240,7 @@
         }
         is_kept
     });
-    if targets.len() >= TARGET_LIMIT && !targets.contains_key(&announcement.service) {
+    if targets.len() >= MAX_TARGETS && !targets.contains_key(&announcement.service) {
         return Err(AnnounceError::Full);
     }
     let target = Arc::new(LocalTarget {
@@ -290,8 +290,8 @@
     instance: &InstanceId,
     incarnation: Option<Incarnation>,
 ) -> bool {
-    let now = Incarnation(node.clock.wall_millis());
-    if !lock(&node.announces).leave(instance, incarnation, now) {
+    let now = Incarnation(node.clock.unix_millis());
+    if !lock(&node.announces).record_departure(instance, incarnation, now) {
         publish(node).await;
         return false;
     }
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -18,7 +18,7 @@
 use wisteriaturn::clock::lock;
 use wisteriaturn::config::view::{RouteEntry, ServiceEntry, ServingView, TargetEntry};
 use wisteriaturn::gate::outcome::{CallOutcome, RefusalReason};
-use wisteriaturn::gate::quarantine::RequestStanding;
+use wisteriaturn::gate::quarantine::QuarantineStatus;
 use wisteriaturn::ids::{CallId, Fingerprint, KeyHash, NodeAddress};
 use wisteriaturn::retry::budget::RetryBudget;
 use wisteriaturn::retry::deadline::CallDeadline;
@@ -124,14 +124,16 @@
 
     fn has_reached_target(&self) -> bool {
         self.outcome == CallOutcome::Done
-            || self.reason.is_some_and(RefusalReason::has_reached_target)
+            || self
+                .reason
+                .is_some_and(RefusalReason::may_have_reached_target)
     }
 }
 
 /// Makes attempts until one has an answer or no other may follow.
 pub async fn run(node: &NodeHandle, mut call: RoutedCall) -> Response<NodeBody> {
     let budget = node.budget(&call.service.spec.name);
-    budget.note_call(call.service.spec.retry_percent);
+    budget.record_call(call.service.spec.retry_percent);
     let mut count = AttemptCount::default();
     // The answer to an attempt that may have run: from then on the call as a
     // whole is no longer `not-run`, whatever becomes of later attempts.
@@ -207,11 +209,11 @@
         CallOutcome::Unknown => call.is_idempotent || call.has_key,
     };
     let is_worth_it = match end.reason {
-        Some(reason) => reason.is_worth_another_target(),
+        Some(reason) => reason.is_retryable_elsewhere(),
         None => end.is_target_failure(),
     };
     let now = node.clock.now();
-    let standing = lock(&node.suspects).standing(call.fingerprint, now);
+    let standing = lock(&node.suspects).status(call.fingerprint, now);
     let most = call.route.spec.max_attempts.unwrap_or(TARGET_LIMIT);
     is_proved
         && is_worth_it
@@ -220,7 +222,7 @@
         && count.reached < most
         && call.body.is_repeatable()
         && call.deadline.allows_attempt(now)
-        && standing == RequestStanding::Clean
+        && standing == QuarantineStatus::Clean
 }
 
 async fn attempt(
@@ -238,7 +240,8 @@
     *request.headers_mut() = call.parts.headers.clone();
     let service = &call.service.spec.name;
     let started = node.clock.now();
-    node.load.with(service, |load| load.begin(target));
+    node.load
+        .with_service(service, |load| load.start_attempt(target));
     let mut guard = AttemptGuard {
         node: node.clone(),
         target: target.clone(),
@@ -401,16 +404,16 @@
     let took = now.duration_since(started);
     if result == AttemptResult::Answered {
         let bytes = end.response.body().size_hint().lower();
-        node.sizes.note(&call.route.spec.name, bytes, took);
+        node.sizes.record(&call.route.spec.name, bytes, took);
     }
-    let ejected = node.load.with(service, |load| {
+    let ejected = node.load.with_service(service, |load| {
         if let Some(busy) = end.report.busy {
-            load.note_report(target.node, busy, now);
+            load.record_load(target.node, busy, now);
         }
         if let Some(mean_run) = end.report.mean_run {
-            load.note_speed(target.node, &call.route.spec.name, mean_run, now);
+            load.record_run_time(target.node, &call.route.spec.name, mean_run, now);
         }
-        load.note_result(target, result, took, &call.service.policy, all, now)
+        load.record_result(target, result, took, &call.service.policy, all, now)
     });
     if let Some(time) = ejected {
         node.metrics.ejections.inc();
@@ -442,7 +445,7 @@
         let service = &self.call.service;
         self.node
             .load
-            .with(service, |load| load.leave(self.target.node));
+            .with_service(service, |load| load.finish_attempt(self.target.node));
         if self.is_answered || self.call.is_idempotent {
             return;
         }
