--- a/src/member/directory.rs
+++ b/src/member/directory.rs
@@ -1,9 +1,11 @@
-//! The port to a place where nodes find each other.
+//! The interface to the node directory, through which nodes discover each
+//! other.
 //!
-//! A starting node needs one address of a live one; everything else travels
-//! between the nodes themselves. So the directory holds one entry for each
-//! node, written at start, and is read at start and now and then after. It is
-//! never taken for the truth about who lives: that is what probing is for.
+//! A starting node needs the address of one live node; everything else is
+//! exchanged between the nodes themselves. The directory therefore holds one
+//! entry for each node. An entry is written when its node starts, and the
+//! entries are read at start and periodically after that. The directory is
+//! never used to decide which nodes are alive; probing does that.
 
 use std::fmt;
 use std::sync::Arc;
@@ -17,7 +19,8 @@
 type ListFn = dyn Fn() -> BoxFuture<Result<Vec<MemberRecord>, LogError>> + Send + Sync;
 type RemoveFn = dyn Fn(NodeAddress) -> BoxFuture<Result<(), LogError>> + Send + Sync;
 
-/// A cheap handle to the directory.
+/// A handle to the node directory, backed by any store. Clones share the same
+/// store.
 #[derive(Clone)]
 pub struct DirectoryPort {
     publish: Arc<PublishFn>,
@@ -26,7 +29,8 @@
 }
 
 impl DirectoryPort {
-    /// Returns a port made of three functions.
+    /// Returns a port that calls the given functions to publish, list and
+    /// remove entries.
     pub fn new<P, L, R>(publish: P, list: L, remove: R) -> Self
     where
         P: Fn(MemberRecord) -> BoxFuture<Result<(), LogError>> + Send + Sync + 'static,
@@ -40,20 +44,21 @@
         }
     }
 
-    /// Writes the entry of a node, in place of an earlier one.
+    /// Writes the entry of a node, replacing an earlier one. Writing the same
+    /// entry again is harmless.
     ///
     /// # Errors
     ///
-    /// [`LogError`] as of the store behind it; writing again does no harm.
+    /// Returns the [`LogError`] of the underlying store.
     pub async fn publish(&self, record: MemberRecord) -> Result<(), LogError> {
         (self.publish)(record).await
     }
 
-    /// Reads all entries that can be decoded.
+    /// Returns all entries that can be decoded.
     ///
     /// # Errors
     ///
-    /// [`LogError`] as of the store behind it.
+    /// Returns the [`LogError`] of the underlying store.
     pub async fn list(&self) -> Result<Vec<MemberRecord>, LogError> {
         (self.list)().await
     }
@@ -62,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// [`LogError`] as of the store behind it.
+    /// Returns the [`LogError`] of the underlying store.
     pub async fn remove(&self, address: NodeAddress) -> Result<(), LogError> {
         (self.remove)(address).await
     }
--- a/src/member/isolation.rs
+++ b/src/member/isolation.rs
@@ -1,47 +1,50 @@
-//! Whether this node still hears any other.
+//! Detects that this node is cut off from all other nodes.
 //!
-//! A node that is cut off from the others keeps its callers, and all that it
-//! can do for most of them is to let them wait for connections that do not
-//! open. It notices by silence: in every second it probes a member and is
-//! probed by some, so no word from anybody for a while means that its own link
-//! is gone. It then says that it is not ready, so that callers go elsewhere,
-//! and refuses at once what its own target cannot serve.
+//! A node that is cut off from the others keeps its callers, and would let most
+//! of their calls wait for connections that never open. It detects the cut by
+//! silence: every second it probes a member and is probed by some, so hearing
+//! from no node for a while means that its own link is down. It then reports
+//! that it is not ready, so that callers go elsewhere, and immediately refuses
+//! calls that its own target cannot serve.
 
 use std::time::{Duration, Instant};
 
-/// Silence after which a node counts as cut off: two rounds of probes with
-/// their time for an answer. Lost datagrams do not last as long.
+/// Silence after which a node considers itself cut off: two probe rounds, each
+/// with the time to wait for an answer. Losses of single datagrams do not last
+/// that long.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Least number of other members whose silence says something: fewer may all
-/// be gone.
+/// Smallest number of other members whose silence is conclusive: if there are
+/// fewer, all of them may be gone.
 pub const MIN_OTHER_MEMBERS: usize = 3;
 
-/// When this node last heard another.
+/// Tracks when this node last heard from another node.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkMonitor {
-    heard: Instant,
+    last_heard: Instant,
 }
 
 impl LinkMonitor {
-    /// Returns the standing of a node that starts now.
+    /// Returns a monitor for a node that starts at `now`.
     pub fn new(now: Instant) -> Self {
-        Self { heard: now }
+        Self { last_heard: now }
     }
 
-    /// Notes a sign of life of another node.
+    /// Records a message from another node. An earlier time than the last one
+    /// is ignored.
     pub fn record_contact(&mut self, now: Instant) {
-        self.heard = self.heard.max(now);
+        self.last_heard = self.last_heard.max(now);
     }
 
-    /// Tells whether no other node was heard for [`ISOLATION_TIMEOUT`].
+    /// Returns `true` if no other node was heard for at least
+    /// [`ISOLATION_TIMEOUT`].
     pub fn is_silent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.heard) >= ISOLATION_TIMEOUT
+        now.saturating_duration_since(self.last_heard) >= ISOLATION_TIMEOUT
     }
 
-    /// Tells whether the node is cut off, as one of `others` members besides it
-    /// that are expected to live.
-    pub fn is_isolated(&self, others: usize, now: Instant) -> bool {
-        others >= MIN_OTHER_MEMBERS && self.is_silent(now)
+    /// Returns `true` if the node is cut off, given the number of other members
+    /// that are expected to be alive.
+    pub fn is_isolated(&self, other_members: usize, now: Instant) -> bool {
+        other_members >= MIN_OTHER_MEMBERS && self.is_silent(now)
     }
 }
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -1,12 +1,13 @@
-//! Membership: which nodes there are, what each one says of itself, and what
-//! others say of it.
+//! Cluster membership: which nodes there are, what each one announces about
+//! itself, and how the others see it.
 //!
 //! The protocol follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable
 //! Weakly-consistent Infection-style Process Group Membership Protocol", 2002):
-//! probe one member at a time, ask others before suspecting it, and let a
-//! suspect refute. Probing stays within a data centre, since links between
-//! regions are billed and their loss says nothing about a node; relays carry
-//! what they know to other data centres.
+//! a node probes one member at a time, asks other members for an indirect probe
+//! before it suspects the member, and a suspect can refute the suspicion.
+//! Probes stay within a data centre, because links between regions are billed
+//! and a loss on them says nothing about a node. Relays pass what they know on
+//! to other data centres.
 //!
 //! See [docs/DESIGN.md](../../docs/DESIGN.md#4-membership).
 
--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -1,7 +1,8 @@
-//! Whom to probe next.
+//! Selection of the next member to probe.
 //!
-//! Random choice would leave some member unprobed for long; a shuffled round
-//! bounds the time between two probes of one member (SWIM, section 4.3).
+//! Choosing at random could leave a member unprobed for a long time. Going
+//! through the members in shuffled rounds bounds the time between two probes of
+//! one member (SWIM, section 4.3).
 
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -9,31 +10,32 @@
 use crate::ids::NodeAddress;
 use crate::member::table::MemberTable;
 
-/// A shuffled round over the members of the own data centre.
+/// A shuffled round of probes over the members of this node's data centre.
 #[derive(Debug, Default)]
 pub struct ProbeRound {
-    order: Vec<NodeAddress>,
+    remaining: Vec<NodeAddress>,
 }
 
 impl ProbeRound {
-    /// Returns a round that starts anew at the first call of [`Self::next`].
+    /// Returns an empty round. The first call of [`Self::next`] fills it.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the next member to probe.
+    /// Returns the next live member to probe, or `None` if there is no other
+    /// live member. Starts a new round when the current one is used up.
     pub fn next<R>(&mut self, table: &MemberTable, rng: &mut R) -> Option<NodeAddress>
     where
         R: Rng,
     {
         loop {
-            match self.order.pop() {
-                Some(address) if is_probed(table, address) => return Some(address),
+            match self.remaining.pop() {
+                Some(address) if is_live(table, address) => return Some(address),
                 Some(_) => {}
                 None => {
-                    self.order = candidates(table);
-                    self.order.shuffle(rng);
-                    if self.order.is_empty() {
+                    self.remaining = live_peers(table);
+                    self.remaining.shuffle(rng);
+                    if self.remaining.is_empty() {
                         return None;
                     }
                 }
@@ -42,13 +44,13 @@
     }
 }
 
-fn is_probed(table: &MemberTable, address: NodeAddress) -> bool {
+fn is_live(table: &MemberTable, address: NodeAddress) -> bool {
     table
         .get(address)
         .is_some_and(|entry| entry.record.is_live())
 }
 
-fn candidates(table: &MemberTable) -> Vec<NodeAddress> {
+fn live_peers(table: &MemberTable) -> Vec<NodeAddress> {
     let own = table.own();
     table
         .live_in(&own.data_centre)
@@ -57,12 +59,13 @@
         .collect()
 }
 
-/// Returns up to `count` random live members of the own data centre.
+/// Returns up to `count` random live members of this node's data centre,
+/// without this node.
 pub fn random_peers<R>(table: &MemberTable, count: usize, rng: &mut R) -> Vec<NodeAddress>
 where
     R: Rng,
 {
-    let mut peers = candidates(table);
+    let mut peers = live_peers(table);
     peers.shuffle(rng);
     peers.truncate(count);
     peers
--- a/src/member/pull.rs
+++ b/src/member/pull.rs
@@ -1,42 +1,44 @@
-//! Which pull of the configuration counts as under way.
+//! A lease that keeps a node from pulling the configuration several times at
+//! once.
 //!
-//! Signs of a new version come from several peers, and one pull is enough. But
-//! a peer that is asked may freeze or be cut off with the answer under way, and
-//! a pull that waits for it must not keep this node from asking another: it
-//! holds its place for a moment only. Two pulls at once do no harm, since
-//! versions only rise.
+//! Several peers may announce a new version, and one pull is enough. But the
+//! peer that is asked may freeze or be cut off before it answers, and a pull
+//! that waits for it must not keep this node from asking another one. So a pull
+//! holds the lease only for a short time. Two pulls at once are harmless,
+//! because versions only increase.
 
 use std::time::{Duration, Instant};
 
-/// Time for which a pull keeps others from starting. A difference crosses
-/// regions in some 20 ms, and a whole document of 100 kB a link of 7 Mbit/s in
-/// 120 ms; a change has to be in force within 2 s.
+/// Time for which a pull keeps others from starting. A delta crosses regions in
+/// about 20 ms, and a whole document of 100 kB takes 120 ms on a link of 7
+/// Mbit/s; a change has to be in force within 2 s.
 pub const PULL_LEASE_TTL: Duration = Duration::from_millis(500);
 
-/// The pull under way, if there is one.
+/// The pull in progress, if there is one.
 #[derive(Debug, Default)]
 pub struct PullLease {
-    began: Option<Instant>,
+    started_at: Option<Instant>,
 }
 
 impl PullLease {
-    /// Starts a pull unless one began a moment ago. Returns its start, by which
-    /// it ends itself.
+    /// Starts a pull, unless another one started within [`PULL_LEASE_TTL`].
+    /// Returns its start time, which identifies it to [`Self::finish`].
     pub fn try_start(&mut self, now: Instant) -> Option<Instant> {
         let is_held = self
-            .began
-            .is_some_and(|began| now.saturating_duration_since(began) < PULL_LEASE_TTL);
+            .started_at
+            .is_some_and(|started_at| now.saturating_duration_since(started_at) < PULL_LEASE_TTL);
         if is_held {
             return None;
         }
-        self.began = Some(now);
-        self.began
+        self.started_at = Some(now);
+        self.started_at
     }
 
-    /// Ends the pull that began at `began`; one that took its place goes on.
-    pub fn finish(&mut self, began: Instant) {
-        if self.began == Some(began) {
-            self.began = None;
+    /// Ends the pull that started at `started_at`. If another pull has taken
+    /// over the lease, that one goes on.
+    pub fn finish(&mut self, started_at: Instant) {
+        if self.started_at == Some(started_at) {
+            self.started_at = None;
         }
     }
 }
--- a/src/member/reader.rs
+++ b/src/member/reader.rs
@@ -1,10 +1,11 @@
-//! Who reads the source of documents for whom.
+//! Assignment of the members that read the document source on behalf of others.
 //!
 //! The store bills every read, and links between regions are billed by volume.
-//! So one member of a data centre reads for a cell of others and tells them
-//! what changed. It is a soft role, worked out by each node from its own table:
-//! a member that does not hear of its reader for a moment reads for itself, so
-//! nothing has to be handed over and no change waits for an election.
+//! So one member of a data centre reads for a group of others and tells them
+//! what changed. This is a soft role that each node computes from its own
+//! member table. A member that has not heard from its reader for a short time
+//! reads for itself, so the role needs no handover and no change waits for an
+//! election.
 
 use std::time::Duration;
 
@@ -13,16 +14,16 @@
 use crate::member::role::{choose_members, choose_members_by_link};
 use crate::member::table::MemberTable;
 
-/// Most members that one reader reads for. A reader says that it lives 2.5 times
-/// a second with some 70 bytes, which is 4 KB/s for a full cell.
+/// Number of members for each reader. A reader sends 2.5 heartbeats of about 70
+/// bytes a second to each of them, which is 4 KB/s for a full group.
 pub const MEMBERS_PER_READER: usize = 24;
 
-/// Time between two signs of life of a reader.
+/// Interval between two heartbeats of a reader.
 pub const READER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time without a sign after which a member reads for itself: three signs, since
-/// a datagram may be lost, and well within the time in which a change must be in
-/// force.
+/// Time without a heartbeat after which a member reads for itself. It is three
+/// heartbeat intervals, because a datagram may be lost, and well within the
+/// time in which a change must be in force.
 pub const READER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Returns the readers of a data centre.
@@ -35,7 +36,8 @@
     choose_members_by_link("source", &members, count)
 }
 
-/// Returns the member that reads for `member`, if any is ready.
+/// Returns the reader of `member`, which may be `member` itself, or `None` if
+/// no member is ready.
 pub fn reader_of(
     table: &MemberTable,
     data_centre: &DataCentre,
@@ -49,7 +51,7 @@
     choose_members(&role, readers, 1).first().copied()
 }
 
-/// Returns the members that a reader reads for, without itself.
+/// Returns the members that `reader` reads for, without itself.
 pub fn members_read_by(
     table: &MemberTable,
     data_centre: &DataCentre,
--- a/src/member/record.rs
+++ b/src/member/record.rs
@@ -1,4 +1,5 @@
-//! What a node says of itself, and its standing among the others.
+//! The record that a member announces about itself, and its state as seen by
+//! the other members.
 
 use std::net::SocketAddr;
 
@@ -7,111 +8,118 @@
     SlotCount,
 };
 
-/// Most targets that one node vouches for.
+/// Largest number of targets that one node announces.
 pub const MAX_TARGETS: usize = 8;
 
-/// Most ends of targets' lives in a record: late announcements are seconds late,
-/// and a VM replaces its one target now and then.
+/// Largest number of target departures in a record. Late announcements are only
+/// seconds late, and a VM seldom replaces its one target.
 pub const MAX_DEPARTURES: usize = 4;
 
 record! {
-    /// Whether a target takes calls.
+    /// Whether a target accepts calls.
     #[derive(Copy)]
     pub enum TargetState {
-        /// The target takes calls.
+        /// The target accepts calls.
         Serving,
-        /// The target takes no new call and ends those it has.
+        /// The target accepts no new calls and finishes those in flight.
         Draining,
     }
 
-    /// A target as the node beside it vouches for it.
+    /// A target as announced by the node that it is attached to.
     pub struct TargetRecord {
-        /// Service that the target serves.
+        /// The service that the target serves.
         pub service: ServiceName,
-        /// Address of the target, on its VM.
+        /// The address of the target, on its VM.
         pub address: SocketAddr,
-        /// Calls that it runs at once.
+        /// Number of calls that the target runs concurrently.
         pub slots: SlotCount,
-        /// Whether it takes calls.
+        /// Whether the target accepts calls.
         pub state: TargetState,
     }
 
-    /// A target that said that it leaves, kept by peers for a node that may be
-    /// restarted before the target's late announcements arrive.
+    /// A target that announced that it is leaving.
+    ///
+    /// Peers keep it for the target's node: that node may be restarted before
+    /// late announcements of the target arrive, and must not take them for
+    /// those of a running target.
     pub struct TargetDeparture {
-        /// Name of the target.
+        /// The name of the target instance.
         pub instance: InstanceId,
-        /// Its life.
+        /// The incarnation of the instance.
         pub incarnation: Incarnation,
-        /// Number of its last announcement that was taken.
+        /// Sequence number of the last announcement that was accepted.
         pub sequence: Sequence,
-        /// Where it served, if it was known.
+        /// The address at which the target served, if known.
         pub address: Option<SocketAddr>,
-        /// Whether it has left; otherwise it drains.
+        /// Whether the target has left; otherwise it is draining.
         pub has_left: bool,
     }
 
-    /// The standing of a member. A later one wins over an earlier one about
-    /// the same statement of the member.
+    /// The state of a member. Of two states for the same incarnation and
+    /// sequence of a member, the later one in this list takes precedence.
     #[derive(Copy, PartialOrd, Ord, Hash)]
     pub enum MemberState {
-        /// The member answers.
+        /// The member answers probes.
         Alive,
-        /// Some node could not reach the member, which may refute it.
+        /// Some node could not reach the member, which may still refute the
+        /// suspicion.
         Suspect,
-        /// The member did not refute in time.
+        /// The member did not refute the suspicion in time.
         Dead,
-        /// The member said that it leaves.
+        /// The member announced that it leaves.
         Left,
     }
 
-    /// A member of the mesh.
+    /// A member of the mesh, as announced by itself, with its current state.
     pub struct MemberRecord {
-        /// Peer address, the identity of the member.
+        /// The peer address, which identifies the member.
         pub address: NodeAddress,
-        /// Life of the member.
+        /// The incarnation of the member.
         pub incarnation: Incarnation,
-        /// Number of its statement in this life.
+        /// Sequence number of the announcement in this incarnation.
         pub sequence: Sequence,
-        /// Standing.
+        /// The state of the member.
         pub state: MemberState,
-        /// Region.
+        /// The region of the member.
         pub region: RegionName,
-        /// Data centre.
+        /// The data centre of the member.
         pub data_centre: DataCentre,
-        /// Where it takes calls from other nodes.
+        /// The address on which the member accepts calls from other nodes.
         pub hop: SocketAddr,
-        /// What the link of its VM carries.
+        /// Bandwidth of the network link of the member's VM.
         pub link: LinkRate,
-        /// Whether its view is current, so that others may start from it.
+        /// Whether the member's view is current, so that other nodes can start
+        /// from it.
         pub is_ready: bool,
-        /// Targets that it vouches for.
+        /// The targets that the member announces.
         pub targets: Vec<TargetRecord>,
-        /// Targets that it knows to leave.
+        /// The targets of the member that are leaving or have left.
         pub departures: Vec<TargetDeparture>,
     }
 }
 
 impl MemberRecord {
-    /// Returns what orders two records of one member; the greater one wins.
+    /// Returns the precedence of this record among records of the same member;
+    /// the greatest one wins.
     pub fn rank(&self) -> (Incarnation, Sequence, MemberState) {
         (self.incarnation, self.sequence, self.state)
     }
 
-    /// Tells whether the member is expected to answer.
+    /// Returns `true` if the member is expected to answer.
     pub fn is_live(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// Returns a hash of the rank, from which digests are made.
+    /// Returns a hash of the address and rank. Table digests are made of these
+    /// hashes.
     pub fn digest(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.address.to_string().as_bytes());
         hasher.update(&self.incarnation.0.to_le_bytes());
         hasher.update(&self.sequence.0.to_le_bytes());
         hasher.update(&[self.state as u8]);
-        let mut head = [0; 8];
-        hasher.finalize_xof().fill(&mut head);
-        u64::from_le_bytes(head)
+        let mut prefix = [0; 8];
+        hasher.finalize_xof().fill(&mut prefix);
+        u64::from_le_bytes(prefix)
     }
 }
--- a/src/member/role.rs
+++ b/src/member/role.rs
@@ -1,17 +1,17 @@
-//! Which members take a soft role, by rendezvous hashing.
+//! Assignment of soft roles to members by rendezvous hashing.
 //!
-//! Every node works the choice out from its own table. Two nodes with
-//! different tables may choose differently; that costs some bytes or a little
-//! time and breaks no promise, so nothing has to be agreed on.
+//! Every node computes the assignment from its own member table. Two nodes with
+//! different tables may assign a role differently. That costs a few bytes or a
+//! little time but breaks no guarantee, so no consensus is needed.
 
 use crate::ids::{DataCentre, NodeAddress};
 use crate::member::record::{MemberRecord, MemberState};
 use crate::member::table::MemberTable;
 
-/// Relays in each data centre.
+/// Number of relays in each data centre.
 pub const RELAYS_PER_DATA_CENTRE: usize = 2;
 
-/// Returns the first `count` of `members` by their weight for `role`.
+/// Returns the `count` members with the lowest hash weights for `role`.
 pub fn choose_members<I>(role: &str, members: I, count: usize) -> Vec<NodeAddress>
 where
     I: IntoIterator<Item = NodeAddress>,
@@ -28,30 +28,33 @@
         .collect()
 }
 
-/// Part of the widest link in a data centre that a member's link needs to count
-/// as wide: VMs of one kind differ little, and kinds differ by a factor of ten.
-const WIDE_PART: u32 = 2;
+/// Divisor of the highest link rate in a data centre: a member with at least
+/// that share of it counts as having a fast link. VMs of one kind differ
+/// little, and kinds differ by a factor of ten.
+const FAST_LINK_DIVISOR: u32 = 2;
 
-/// Returns the first `count` of `members` by their weight for a role that sends
-/// much, those with wide links first. A role that reads or hands on whole
-/// configurations would fill a thin link and hold up the calls on it.
+/// Returns `count` members by their hash weights for a role that sends a lot,
+/// preferring members with fast links. A role that reads or forwards whole
+/// configurations would saturate a slow link and delay the calls on it.
 pub fn choose_members_by_link(
     role: &str,
     members: &[&MemberRecord],
     count: usize,
 ) -> Vec<NodeAddress> {
-    let widest = members.iter().map(|member| member.link.0).max();
-    let is_wide = |member: &&MemberRecord| member.link.0 >= widest.unwrap_or_default() / WIDE_PART;
-    let (wide, thin): (Vec<_>, Vec<_>) = members.iter().copied().partition(is_wide);
-    let mut chosen = choose_members(role, wide.iter().map(|member| member.address), count);
+    let highest_rate = members.iter().map(|member| member.link.0).max();
+    let has_fast_link = |member: &&MemberRecord| {
+        member.link.0 >= highest_rate.unwrap_or_default() / FAST_LINK_DIVISOR
+    };
+    let (fast, slow): (Vec<_>, Vec<_>) = members.iter().copied().partition(has_fast_link);
+    let mut chosen = choose_members(role, fast.iter().map(|member| member.address), count);
     let missing = count - chosen.len();
-    let rest = choose_members(role, thin.iter().map(|member| member.address), missing);
-    chosen.extend(rest);
+    let remaining = choose_members(role, slow.iter().map(|member| member.address), missing);
+    chosen.extend(remaining);
     chosen
 }
 
-/// Returns the relays of a data centre. A suspect is passed over at once, well
-/// before it is declared dead, since an extra relay does no harm.
+/// Returns the relays of a data centre. A suspect is skipped immediately, well
+/// before it is declared dead, because an extra relay is harmless.
 pub fn relays(table: &MemberTable, data_centre: &DataCentre) -> Vec<NodeAddress> {
     let members: Vec<_> = table
         .live_in(data_centre)
@@ -70,28 +73,28 @@
 }
 
 /// Returns the keeper of a claim stream: a member of `home`, the data centre
-/// in which the log stands, or any member when `home` has none.
+/// that hosts the log, or any member if `home` has none.
 pub fn keeper(table: &MemberTable, stream: u32, home: Option<&DataCentre>) -> Option<NodeAddress> {
     let role = format!("keeper-{stream}");
-    let near = home.map(|home| {
+    let in_home = home.map(|home| {
         let members = table.live_in(home).map(|record| record.address);
         choose_members(&role, members, 1)
     });
-    if let Some(found) = near.and_then(|near| near.first().copied()) {
-        return Some(found);
+    if let Some(member) = in_home.and_then(|in_home| in_home.first().copied()) {
+        return Some(member);
     }
-    let all = table
+    let live_members = table
         .iter()
         .filter(|entry| entry.record.is_live())
         .map(|entry| entry.record.address);
-    choose_members(&role, all, 1).first().copied()
+    choose_members(&role, live_members, 1).first().copied()
 }
 
 fn weight(role: &str, address: NodeAddress) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(role.as_bytes());
     hasher.update(address.to_string().as_bytes());
-    let mut head = [0; 8];
-    hasher.finalize_xof().fill(&mut head);
-    u64::from_le_bytes(head)
+    let mut prefix = [0; 8];
+    hasher.finalize_xof().fill(&mut prefix);
+    u64::from_le_bytes(prefix)
 }
--- a/src/member/rumor.rs
+++ b/src/member/rumor.rs
@@ -1,34 +1,37 @@
-//! Rumors: small news that spreads by push and rides along on probes.
+//! Rumors: small updates that are spread by gossip and piggybacked on probes.
 //!
-//! A rumor is sent on when it told a node something new, and then rides along
-//! on a bounded number of probes. The bound grows with the logarithm of the
-//! members, as in SWIM; what still misses a node is found by digest.
+//! A node passes a rumor on if it was new to that node, by piggybacking it on a
+//! bounded number of probes. The bound grows with the logarithm of the number
+//! of members, as in SWIM. What a node still misses is found by comparing
+//! digests.
 
 use std::collections::VecDeque;
 
 use crate::ids::{Fingerprint, NodeAddress};
 use crate::member::record::MemberRecord;
 
-/// Most rumors that wait to ride along.
+/// Largest number of queued rumors.
 pub const MAX_QUEUED_RUMORS: usize = 512;
 
 record! {
-    /// A piece of news.
+    /// An update that is spread by gossip.
     pub enum Rumor {
-        /// A member's record.
+        /// The record of a member.
         Member(MemberRecord),
-        /// A request was running when its target's process was lost.
+        /// A request was running when the process of its target was lost, so it
+        /// may be what crashed the target.
         Suspect {
-            /// The request.
+            /// Fingerprint of the request.
             fingerprint: Fingerprint,
-            /// The node beside the target.
+            /// The node that the target is attached to.
             node: NodeAddress,
-            /// Number of the loss at that node, so that a repeat is known.
+            /// Number of the loss at that node, which identifies repeated
+            /// rumors about it.
             loss: u64,
         },
-        /// A request that was suspect ran to its end.
+        /// A suspected request ran to completion.
         Cleared {
-            /// The request.
+            /// Fingerprint of the request.
             fingerprint: Fingerprint,
         },
     }
@@ -37,10 +40,10 @@
 #[derive(Debug)]
 struct QueuedRumor {
     rumor: Rumor,
-    left: u32,
+    sends_left: u32,
 }
 
-/// Rumors that wait to ride along on probes.
+/// Rumors that are waiting to be piggybacked on probes.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
     queue: VecDeque<QueuedRumor>,
@@ -52,39 +55,40 @@
         Self::default()
     }
 
-    /// Adds a rumor; an older one about the same member is dropped.
+    /// Queues a rumor, replacing an older one about the same member. `members`
+    /// is the number of members, which determines how often the rumor is sent.
     pub fn push(&mut self, rumor: Rumor, members: usize) {
         if let Rumor::Member(record) = &rumor {
             self.queue.retain(|queued| match &queued.rumor {
-                Rumor::Member(old) => old.address != record.address,
+                Rumor::Member(queued_record) => queued_record.address != record.address,
                 Rumor::Suspect { .. } | Rumor::Cleared { .. } => true,
             });
         }
         if self.queue.len() >= MAX_QUEUED_RUMORS {
             self.queue.pop_back();
         }
-        let left = 3 * (usize::BITS - members.leading_zeros()).max(1);
-        self.queue.push_front(QueuedRumor { rumor, left });
+        let sends_left = 3 * (usize::BITS - members.leading_zeros()).max(1);
+        self.queue.push_front(QueuedRumor { rumor, sends_left });
     }
 
-    /// Returns rumors for one probe, up to `budget` bytes when encoded.
-    pub fn take(&mut self, budget: usize) -> Vec<Rumor> {
+    /// Returns rumors for one probe, up to `max_bytes` bytes when encoded.
+    pub fn take(&mut self, max_bytes: usize) -> Vec<Rumor> {
         let mut taken = Vec::new();
-        let mut used = 0;
+        let mut encoded_bytes = 0;
         for _ in 0..self.queue.len() {
             let Some(mut queued) = self.queue.pop_front() else {
                 break;
             };
-            let size = postcard::experimental::serialized_size(&queued.rumor).unwrap_or(budget);
-            if used + size > budget {
+            let size = postcard::experimental::serialized_size(&queued.rumor).unwrap_or(max_bytes);
+            if encoded_bytes + size > max_bytes {
                 self.queue.push_front(queued);
                 break;
             }
-            used += size;
+            encoded_bytes += size;
             taken.push(queued.rumor.clone());
-            queued.left -= 1;
-            if queued.left > 0 {
-                // The least often sent rumor stays in front.
+            queued.sends_left -= 1;
+            if queued.sends_left > 0 {
+                // Rumors with the fewest sends stay in front.
                 self.queue.push_back(queued);
             }
         }
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -1,8 +1,9 @@
-//! The table of members and the rule that merges what others say into it.
+//! The member table and the rule by which it merges the records of other nodes.
 //!
-//! A record replaces another of the same member only with a higher rank:
-//! incarnation, then the member's own sequence, then standing. So the order
-//! in which rumors arrive does not matter, and an old one changes nothing.
+//! A record replaces another of the same member only if its rank is higher: by
+//! incarnation, then by the member's own sequence number, then by state. The
+//! order in which rumors arrive therefore doesn't matter, and an old one
+//! changes nothing.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,44 +11,45 @@
 use crate::ids::{ConfigVersion, DataCentre, NodeAddress, Sequence};
 use crate::member::record::{MemberRecord, MemberState, TargetDeparture};
 
-/// Most members that a node keeps.
+/// Largest number of members in the table.
 pub const MAX_MEMBERS: usize = 8192;
 
-/// How long a dead or left member is remembered. A late rumor that it was
-/// alive must still meet its tombstone.
+/// How long the tombstone of a dead or left member is kept. A late rumor that
+/// the member was alive must still meet its tombstone.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// What a merge did.
+/// The result of merging a record into the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum MergeOutcome {
-    /// The record says nothing new.
+    /// The record is not newer than the one in the table.
     Unchanged,
-    /// The record was taken.
+    /// The record was stored in the table.
     Applied,
-    /// The record claims that this node is not alive; the node has raised its
-    /// sequence and must spread its own record.
+    /// The record claims that this node is not alive. The node has raised its
+    /// own sequence number and must spread its record.
     Refuted,
-    /// The table is full.
+    /// The table is full and the record is of an unknown member.
     Full,
 }
 
-/// A member with what this node saw of it.
+/// A member's record and what this node has observed about the member.
 #[derive(Debug, Clone)]
 pub struct MemberEntry {
-    /// What the member says.
+    /// The latest record of the member.
     pub record: MemberRecord,
-    /// Highest version that this node saw the member hold.
+    /// The highest configuration version that this node has seen the member
+    /// hold.
     pub held_version: ConfigVersion,
-    /// Targets that the member's last life with any knew to leave. A restarted
-    /// member knows none until it is told.
+    /// The departures in the latest record that had any. A restarted member
+    /// knows none of its earlier departures until it is told.
     pub departures: Vec<TargetDeparture>,
-    /// When the standing last changed.
+    /// When the record was last replaced.
     pub updated_at: Instant,
     digest: u64,
 }
 
-/// All members, this node included.
+/// All known members, including this node.
 #[derive(Debug)]
 pub struct MemberTable {
     own: NodeAddress,
@@ -57,7 +59,7 @@
 }
 
 impl MemberTable {
-    /// Returns a table that holds only this node.
+    /// Returns a table that contains only this node.
     pub fn new(own: MemberRecord, now: Instant) -> Self {
         let mut table = Self {
             own: own.address,
@@ -74,12 +76,12 @@
         &self.members[&self.own].record
     }
 
-    /// Returns a number that rises with every change of the table.
+    /// Returns a number that increases whenever a record is stored.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Changes the record of this node and raises its sequence.
+    /// Changes the record of this node and raises its sequence number.
     pub fn update_own<F>(&mut self, now: Instant, change: F) -> MemberRecord
     where
         F: FnOnce(&mut MemberRecord),
@@ -91,17 +93,17 @@
         record
     }
 
-    /// Returns a member.
+    /// Returns the entry of a member.
     pub fn get(&self, address: NodeAddress) -> Option<&MemberEntry> {
         self.members.get(&address)
     }
 
-    /// Returns all members in the order of their addresses.
+    /// Returns all members, ordered by address.
     pub fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values()
     }
 
-    /// Returns the live members of a data centre, this node included.
+    /// Returns the live members of a data centre, including this node.
     pub fn live_in<'a>(
         &'a self,
         data_centre: &'a DataCentre,
@@ -112,23 +114,26 @@
             .filter(move |record| record.is_live() && record.data_centre == *data_centre)
     }
 
-    /// Returns the number of members, dead ones included.
+    /// Returns the number of members, including dead ones.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Tells whether the table is empty, which it never is.
+    /// Returns `true` if the table has no members. That is never the case,
+    /// because it always contains this node.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Merges what another node says about a member.
+    /// Merges a record of a member that another node has sent.
     pub fn merge(&mut self, record: MemberRecord, now: Instant) -> MergeOutcome {
         if record.address == self.own {
             return self.merge_own(&record, now);
         }
         match self.members.get(&record.address) {
-            Some(held) if held.record.rank() >= record.rank() => return MergeOutcome::Unchanged,
+            Some(current) if current.record.rank() >= record.rank() => {
+                return MergeOutcome::Unchanged;
+            }
             None if self.members.len() >= MAX_MEMBERS => return MergeOutcome::Full,
             Some(_) | None => {}
         }
@@ -136,15 +141,16 @@
         MergeOutcome::Applied
     }
 
-    /// Marks a member as seen with a version; versions only rise.
+    /// Records that a member holds a configuration version. A lower version
+    /// than before is ignored.
     pub fn record_held_version(&mut self, address: NodeAddress, version: ConfigVersion) {
         if let Some(entry) = self.members.get_mut(&address) {
             entry.held_version = entry.held_version.max(version);
         }
     }
 
-    /// Changes the standing of a member for the statement that this node
-    /// knows, and returns the record to spread when that changed anything.
+    /// Raises the state of a member, without a new announcement by the member.
+    /// Returns the record to spread, or `None` if nothing changed.
     pub fn set_state(
         &mut self,
         address: NodeAddress,
@@ -161,7 +167,8 @@
         Some(record)
     }
 
-    /// Returns the suspects of `data_centre` that did not refute for `timeout`.
+    /// Returns the suspects of `data_centre` that have not refuted the
+    /// suspicion within `timeout`.
     pub fn overdue_suspects(
         &self,
         data_centre: &DataCentre,
@@ -179,9 +186,9 @@
             .collect()
     }
 
-    /// Forgets members that have been gone for [`TOMBSTONE_RETENTION`].
+    /// Removes members that have been dead or left for [`TOMBSTONE_RETENTION`].
     pub fn remove_expired_tombstones(&mut self, now: Instant) {
-        let gone: Vec<_> = self
+        let expired: Vec<_> = self
             .members
             .values()
             .filter(|entry| {
@@ -190,47 +197,49 @@
             })
             .map(|entry| entry.record.address)
             .collect();
-        for address in gone {
+        for address in expired {
             if let Some(entry) = self.members.remove(&address) {
                 self.toggle_digest(&entry.record.data_centre, entry.digest);
             }
         }
     }
 
-    /// Returns the digest of each data centre; equal digests mean that two
-    /// nodes hold the same records.
+    /// Returns the digest of each data centre. Two nodes with equal digests
+    /// hold the same records.
     pub fn digests(&self) -> &BTreeMap<DataCentre, u64> {
         &self.digests
     }
 
     /// Returns one digest over all members.
     pub fn digest(&self) -> u64 {
-        self.digests.values().fold(0, |sum, digest| sum ^ digest)
+        self.digests
+            .values()
+            .fold(0, |combined, digest| combined ^ digest)
     }
 
-    /// Tells whether so large a share of a data centre looks dead that the
-    /// likelier reason is this node's own link.
+    /// Returns `true` if so many members of a data centre appear lost that a
+    /// fault of this node's own link is the more likely reason.
     pub fn is_likely_cut_off(&self, data_centre: &DataCentre) -> bool {
-        let mut all = 0;
-        let mut lost = 0;
+        let mut known = 0;
+        let mut unreachable = 0;
         for entry in self.members.values() {
             if entry.record.data_centre == *data_centre && entry.record.state != MemberState::Left {
-                all += 1;
-                lost += u32::from(entry.record.state != MemberState::Alive);
+                known += 1;
+                unreachable += u32::from(entry.record.state != MemberState::Alive);
             }
         }
-        // Two of three lost is what a cut looks like; below four members the
-        // share says nothing.
-        all >= 4 && lost * 3 >= all * 2
+        // A cut link makes two thirds of the members appear lost. With fewer
+        // than four members, the share is not conclusive.
+        known >= 4 && unreachable * 3 >= known * 2
     }
 
     fn merge_own(&mut self, record: &MemberRecord, now: Instant) -> MergeOutcome {
         let own = self.own();
-        let is_older = record.incarnation < own.incarnation;
-        let is_same_life = record.incarnation == own.incarnation;
-        let is_stale = is_same_life && record.sequence < own.sequence;
-        let is_agreed = is_same_life && record.rank() <= own.rank();
-        if is_older || is_stale || is_agreed {
+        let is_older_incarnation = record.incarnation < own.incarnation;
+        let is_same_incarnation = record.incarnation == own.incarnation;
+        let is_stale = is_same_incarnation && record.sequence < own.sequence;
+        let is_covered = is_same_incarnation && record.rank() <= own.rank();
+        if is_older_incarnation || is_stale || is_covered {
             return MergeOutcome::Unchanged;
         }
         let (incarnation, sequence) = (record.incarnation, record.sequence);
@@ -242,12 +251,12 @@
     }
 
     fn put(&mut self, record: MemberRecord, now: Instant) {
-        let old = self.members.remove(&record.address);
-        if let Some(old) = &old {
-            self.toggle_digest(&old.record.data_centre, old.digest);
+        let previous = self.members.remove(&record.address);
+        if let Some(previous) = &previous {
+            self.toggle_digest(&previous.record.data_centre, previous.digest);
         }
-        let (held_version, mut departures) = old
-            .map(|old| (old.held_version, old.departures))
+        let (held_version, mut departures) = previous
+            .map(|previous| (previous.held_version, previous.departures))
             .unwrap_or_default();
         if !record.departures.is_empty() {
             departures.clone_from(&record.departures);
@@ -265,7 +274,8 @@
         self.members.insert(entry.record.address, entry);
     }
 
-    /// Exclusive or both adds a record to a digest and takes it out again.
+    /// Adds a record's digest to the digest of its data centre, or removes it:
+    /// exclusive or does both.
     fn toggle_digest(&mut self, data_centre: &DataCentre, digest: u64) {
         *self.digests.entry(data_centre.clone()).or_default() ^= digest;
     }
