--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -138,7 +138,7 @@
             /// The call.
             call: CallId,
             /// Life of the gate that the call went to.
-            life: BootId,
+            boot_id: BootId,
         },
     }
 
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -174,7 +174,7 @@
         let request = PeerRequest::Inquire {
             hop: target.hop,
             call: call.call,
-            life,
+            boot_id: life,
         };
         let asked = peer_client::request(node, helper, &request, TrafficKind::Claim);
         match timeout_at(until.into(), asked).await {
