--- a/tests/integration/config_fold.rs
+++ b/tests/integration/config_fold.rs
@@ -1,4 +1,5 @@
-//! The fold: whole or not at all, the same everywhere, never a panic.
+//! The configuration fold: changes are atomic, the result is the same on every
+//! node, and no record causes a panic.
 
 use proptest::prelude::*;
 use serde_json::json;
@@ -48,7 +49,8 @@
     state.fold(&change.encode().expect("a record"))
 }
 
-fn start() -> ConfigState {
+/// Returns version 1, which holds one service and one route to it.
+fn initial_state() -> ConfigState {
     let mut state = ConfigState::new();
     let operations = vec![
         put(service("portal")),
@@ -62,29 +64,29 @@
 }
 
 #[parameterized(
-    no_service = { vec![put(route("x", "/x", "nowhere"))], "names service/nowhere" },
-    stranded = { vec![delete(ResourceKind::Service, "portal")], "names service/portal" },
+    missing_service = { vec![put(route("x", "/x", "nowhere"))], "names service/nowhere" },
+    service_still_in_use = { vec![delete(ResourceKind::Service, "portal")], "names service/portal" },
     same_match = { vec![put(route("x", "/portal/", "portal"))], "match the same host and path" },
     written_twice = { vec![put(service("a")), put(service("a"))], "written twice" },
-    missing = { vec![delete(ResourceKind::Route, "x")], "does not exist" },
+    delete_of_missing = { vec![delete(ResourceKind::Route, "x")], "does not exist" },
     empty = { vec![], "no writes" },
-    stale = { vec![Operation::put(service("portal"), Precondition::At(Revision(9)))],
+    stale_revision = { vec![Operation::put(service("portal"), Precondition::At(Revision(9)))],
         "expected revision 9, held is revision 1" },
-    not_absent = { vec![Operation::put(service("portal"), Precondition::Absent)],
+    exists_but_expected_absent = { vec![Operation::put(service("portal"), Precondition::Absent)],
         "expected absent" },
-    weights = { vec![put(resource(json!({ "kind": "route", "name": "x", "path": "/x",
+    zero_weights = { vec![put(resource(json!({ "kind": "route", "name": "x", "path": "/x",
         "services": [{ "service": "portal", "weight": 0 }] })))], "sum above 0" },
-    deadline = { vec![put(resource(json!({ "kind": "route", "name": "x", "path": "/x",
+    zero_deadline = { vec![put(resource(json!({ "kind": "route", "name": "x", "path": "/x",
         "services": [{ "service": "portal" }], "deadline_ms": 0 })))], "deadline_ms" },
-    slots = { vec![put(resource(json!({ "kind": "service", "name": "x", "permit": [],
+    zero_slots = { vec![put(resource(json!({ "kind": "service", "name": "x", "permit": [],
         "max_slots": 0 })))], "max_slots" },
-    policy = { vec![put(resource(json!({ "kind": "policy", "service": "portal",
+    spill_without_hysteresis = { vec![put(resource(json!({ "kind": "policy", "service": "portal",
         "spill_enter": 50, "spill_leave": 50 })))], "spill_leave" },
 )]
-fn a_bad_change_is_rejected_whole(operations: Vec<Operation>, reason: &str) {
-    let mut state = start();
+fn an_invalid_change_is_rejected_as_a_whole(operations: Vec<Operation>, reason: &str) {
+    let mut state = initial_state();
     let before = state.resources().clone();
-    // A good write in the same batch must not survive either.
+    // A valid write in the same change must not be applied either.
     let mut operations = operations;
     if !operations.is_empty() {
         operations.push(put(service("extra")));
@@ -100,20 +102,20 @@
 }
 
 #[test]
-fn a_change_that_comes_twice_is_folded_once() {
-    let mut state = start();
-    let twice = change(7, vec![put(service("a"))]);
-    assert_eq!(fold(&mut state, &twice), FoldVerdict::Accepted);
-    let after = state.resources().clone();
+fn a_change_that_is_appended_twice_is_applied_once() {
+    let mut state = initial_state();
+    let repeated = change(7, vec![put(service("a"))]);
+    assert_eq!(fold(&mut state, &repeated), FoldVerdict::Accepted);
+    let resources = state.resources().clone();
     assert_eq!(
-        fold(&mut state, &twice),
+        fold(&mut state, &repeated),
         FoldVerdict::Repeated(ConfigVersion(2))
     );
-    assert_eq!(state.resources(), &after);
+    assert_eq!(state.resources(), &resources);
 }
 
 #[test]
-fn the_tail_gives_what_is_missing_or_nothing() {
+fn the_tail_returns_later_records_or_none_if_it_starts_too_late() {
     let mut tail = RecordTail::starting_at(ConfigVersion(5));
     for number in 0..4_u8 {
         tail.push(bytes::Bytes::from(vec![number]));
@@ -133,8 +135,8 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_and_a_host_goes_before_any() {
-    let mut state = start();
+fn routes_match_by_host_first_and_then_by_longest_prefix() {
+    let mut state = initial_state();
     let hosted = resource(json!({ "kind": "route", "name": "hosted", "path": "/",
         "host": "portal.example", "services": [{ "service": "portal" }] }));
     let operations = vec![put(route("deep", "/portal/deep", "portal")), put(hosted)];
@@ -157,7 +159,7 @@
     );
 }
 
-/// Writes on a few names, so that they meet each other.
+/// Generates writes that use only a few names, so that they conflict often.
 fn operation() -> impl Strategy<Value = Operation> {
     let names = prop::sample::select(vec!["a", "b", "c"]);
     let expect = prop_oneof![
@@ -165,18 +167,21 @@
         1 => Just(Precondition::Absent),
         1 => (0_u64..6).prop_map(|revision| Precondition::At(Revision(revision))),
     ];
-    let value = (names.clone(), names, 0..5_u8).prop_map(|(name, other, what)| match what {
-        0 => Ok(service(name)),
-        1 | 2 => Ok(route(name, &format!("/{other}"), other)),
-        3 => Err(ResourceKey::new(ResourceKind::Service, name)),
-        _ => Err(ResourceKey::new(ResourceKind::Route, name)),
-    });
+    // `Ok` is a resource to write, `Err` the key of a resource to delete.
+    let value =
+        (names.clone(), names, 0..5_u8).prop_map(|(name, service_name, action)| match action {
+            0 => Ok(service(name)),
+            1 | 2 => Ok(route(name, &format!("/{service_name}"), service_name)),
+            3 => Err(ResourceKey::new(ResourceKind::Service, name)),
+            _ => Err(ResourceKey::new(ResourceKind::Route, name)),
+        });
     (value, expect).prop_map(|(value, expect)| match value {
         Ok(resource) => Operation::put(resource, expect),
         Err(key) => Operation::delete(key, expect),
     })
 }
 
+/// Generates encoded changes and, less often, arbitrary bytes.
 fn records() -> impl Strategy<Value = Vec<Vec<u8>>> {
     let batch = (0..40_u128, prop::collection::vec(operation(), 0..4));
     let record = prop_oneof![
@@ -192,7 +197,7 @@
     #[test]
     fn every_version_is_valid_and_all_nodes_agree(
         records in records(),
-        cut in 0..24_usize,
+        restart_index in 0..24_usize,
     ) {
         let mut state = ConfigState::new();
         let mut restarted = None;
@@ -208,7 +213,7 @@
             let view = ConfigView::try_from(&state).expect("no dangling reference");
             let serving = ServingView::build(view.into(), [], |_, _| unreachable!());
             prop_assert!(cell.advance(serving).is_ok());
-            if index == cut {
+            if index == restart_index {
                 let bytes = encode_snapshot(&state).expect("a snapshot");
                 restarted = Some(decode_snapshot(&bytes).expect("the same snapshot"));
             } else if let Some(restarted) = &mut restarted {
@@ -221,7 +226,7 @@
     }
 
     #[test]
-    fn a_view_never_goes_back(versions in prop::collection::vec(0..8_u64, 1..32)) {
+    fn the_version_of_the_current_view_never_decreases(versions in prop::collection::vec(0..8_u64, 1..32)) {
         let cell = ViewCell::new();
         let mut highest = 0;
         for version in versions {
@@ -238,14 +243,14 @@
     }
 
     #[test]
-    fn a_snapshot_is_put_together_whole_or_not_at_all(
+    fn a_snapshot_is_assembled_only_if_it_is_complete(
         size in 1..6_usize,
-        dropped in prop::option::of(0..3_usize),
-        noise in prop::collection::vec(any::<u8>(), 0..64),
+        dropped_index in prop::option::of(0..3_usize),
+        invalid_record in prop::collection::vec(any::<u8>(), 0..64),
     ) {
         let mut state = ConfigState::new();
         for number in 0..size {
-            // Long paths make a snapshot of several records.
+            // Long paths make the snapshot span several chunks.
             let path = format!("/{}{number}", "x".repeat(400));
             let name = format!("s{number}");
             let mut operations = vec![put(service(&name)), put(route(&name, &path, &name))];
@@ -260,16 +265,16 @@
         }
         let bytes = encode_snapshot(&state).expect("a snapshot");
         let chunks = split_snapshot(state.version(), &bytes);
-        let mut reader = SnapshotAssembler::new();
-        reader.add_record(&noise);
-        let mut is_whole = true;
+        let mut assembler = SnapshotAssembler::new();
+        assembler.add_record(&invalid_record);
+        let mut is_complete = true;
         for (index, chunk) in chunks.iter().enumerate() {
-            if dropped == Some(index) {
-                is_whole = false;
+            if dropped_index == Some(index) {
+                is_complete = false;
                 continue;
             }
-            reader.add_record(&chunk.encode().expect("a record"));
+            assembler.add_record(&chunk.encode().expect("a record"));
         }
-        prop_assert_eq!(reader.into_newest(), is_whole.then_some(state));
+        prop_assert_eq!(assembler.into_newest(), is_complete.then_some(state));
     }
 }
--- a/tests/integration/document_rules.rs
+++ b/tests/integration/document_rules.rs
@@ -1,4 +1,5 @@
-//! Documents: what changed between two, and who reads them for whom.
+//! Deltas between documents, and the selection of the members that read and
+//! relay documents for their data centre.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -40,7 +41,11 @@
 
 fn state(version: u64, routes: &BTreeMap<u8, u64>) -> ConfigState {
     let mut resources = vec![service("portal")];
-    resources.extend(routes.iter().map(|(number, time)| route(*number, *time)));
+    resources.extend(
+        routes
+            .iter()
+            .map(|(number, deadline_ms)| route(*number, *deadline_ms)),
+    );
     let document = ConfigDocument {
         version: ConfigVersion(version),
         resources,
@@ -54,37 +59,40 @@
 
 proptest! {
     #[test]
-    fn a_difference_leads_to_the_document_that_it_was_made_of(
+    fn a_delta_turns_only_its_old_document_into_the_new_one(
         before in routes(),
         after in routes(),
         other in routes(),
     ) {
         let (old, new) = (state(3, &before), state(9, &after));
         let delta = delta_between(&old, &new).expect("encodable");
-        let changed = after.iter().filter(|(key, time)| before.get(key) != Some(time)).count();
-        prop_assert_eq!(delta.puts.len(), changed, "only what changed travels");
-        let led = apply_delta(&old, &delta).expect("it leads there");
-        prop_assert_eq!(led.chain(), new.chain());
-        prop_assert_eq!(led.version(), new.version());
-        // On any other document it is refused whole.
-        let wrong = state(3, &other);
-        prop_assert_eq!(apply_delta(&wrong, &delta).is_ok(), other == before);
+        let changed_count = after
+            .iter()
+            .filter(|(number, deadline_ms)| before.get(number) != Some(deadline_ms))
+            .count();
+        prop_assert_eq!(delta.puts.len(), changed_count, "only changed resources are sent");
+        let result = apply_delta(&old, &delta).expect("the delta applies");
+        prop_assert_eq!(result.chain(), new.chain());
+        prop_assert_eq!(result.version(), new.version());
+        // The delta is rejected for any other document.
+        let other_document = state(3, &other);
+        prop_assert_eq!(apply_delta(&other_document, &delta).is_ok(), other == before);
         prop_assert!(apply_delta(&state(4, &before), &delta).is_err());
-        let mut forged = delta.clone();
-        forged.to_hash[0] ^= 1;
-        prop_assert!(apply_delta(&old, &forged).is_err());
+        let mut altered = delta.clone();
+        altered.to_hash[0] ^= 1;
+        prop_assert!(apply_delta(&old, &altered).is_err());
     }
 }
 
 #[test]
-fn the_last_documents_are_remembered() {
+fn the_history_keeps_only_the_newest_documents() {
     let mut history = DocumentHistory::default();
     for version in 1..=10 {
         history.push(state(version, &BTreeMap::new()));
     }
-    let oldest = 10 - MAX_HISTORY_DOCUMENTS as u64;
-    assert!(history.get(ConfigVersion(oldest)).is_none());
-    assert!(history.get(ConfigVersion(oldest + 1)).is_some());
+    let newest_dropped = 10 - MAX_HISTORY_DOCUMENTS as u64;
+    assert!(history.get(ConfigVersion(newest_dropped)).is_none());
+    assert!(history.get(ConfigVersion(newest_dropped + 1)).is_some());
 }
 
 fn address(host: u16) -> NodeAddress {
@@ -107,106 +115,113 @@
     }
 }
 
-fn table(members: u16) -> MemberTable {
+fn table(member_count: u16) -> MemberTable {
     let now = Instant::now();
     let mut table = MemberTable::new(member(1, true), now);
-    for host in 2..=members {
+    for host in 2..=member_count {
         table.merge(member(host, true), now);
     }
     table
 }
 
 #[yare::parameterized(
-    alone = { 1, 1 }, three = { 3, 1 }, full_cell = { 24, 1 }, two_cells = { 25, 2 },
-    data_centre_of_the_letter = { 158, 7 },
+    single_member = { 1, 1 }, three_members = { 3, 1 }, one_full_reader = { 24, 1 },
+    two_readers = { 25, 2 }, large_data_centre = { 158, 7 },
 )]
-fn every_member_has_one_reader_and_no_reader_has_too_many(members: u16, expected: usize) {
-    let place: DataCentre = "r1-a".parse().expect("a name");
-    let table = table(members);
-    let readers = readers(&table, &place);
-    assert_eq!(readers.len(), expected);
-    let mut read_for = 0;
+fn every_member_has_one_reader_and_no_reader_has_too_many(
+    member_count: u16,
+    expected_readers: usize,
+) {
+    let data_centre: DataCentre = "r1-a".parse().expect("a name");
+    let table = table(member_count);
+    let readers = readers(&table, &data_centre);
+    assert_eq!(readers.len(), expected_readers);
+    let mut assigned_count = 0;
     for reader in &readers {
-        let cell = members_read_by(&table, &place, *reader);
-        // Rendezvous spreads members unevenly, within half again of a cell.
+        let assigned = members_read_by(&table, &data_centre, *reader);
+        // Rendezvous hashing assigns members unevenly: a reader may have up to
+        // half more than the target number.
         assert!(
-            cell.len() <= MEMBERS_PER_READER * 3 / 2,
+            assigned.len() <= MEMBERS_PER_READER * 3 / 2,
             "{} members",
-            cell.len()
+            assigned.len()
         );
-        read_for += cell.len();
+        assigned_count += assigned.len();
     }
-    assert_eq!(read_for + readers.len(), usize::from(members));
+    assert_eq!(assigned_count + readers.len(), usize::from(member_count));
 }
 
 #[test]
-fn a_member_that_is_suspect_or_not_ready_reads_for_nobody() {
-    let place: DataCentre = "r1-a".parse().expect("a name");
+fn a_member_that_is_suspect_or_not_ready_is_no_reader() {
+    let data_centre: DataCentre = "r1-a".parse().expect("a name");
     let now = Instant::now();
     let mut table = MemberTable::new(member(1, false), now);
     assert_eq!(
-        reader_of(&table, &place, address(1)),
+        reader_of(&table, &data_centre, address(1)),
         None,
-        "nobody is ready"
+        "no member is ready"
     );
     table.merge(member(2, true), now);
-    assert_eq!(reader_of(&table, &place, address(1)), Some(address(2)));
+    assert_eq!(
+        reader_of(&table, &data_centre, address(1)),
+        Some(address(2))
+    );
     table.set_state(address(2), MemberState::Suspect, now);
-    assert_eq!(reader_of(&table, &place, address(1)), None);
+    assert_eq!(reader_of(&table, &data_centre, address(1)), None);
 }
 
 #[test]
-fn a_pull_that_hangs_keeps_no_other_from_starting() {
+fn a_hanging_pull_does_not_block_others_after_its_lease() {
     let start = Instant::now();
-    let mut mark = PullLease::default();
-    let first = mark.try_start(start).expect("nothing is under way");
-    assert_eq!(mark.try_start(start + PULL_LEASE_TTL / 2), None);
-    let second = mark
+    let mut lease = PullLease::default();
+    let first = lease.try_start(start).expect("no pull is in progress");
+    assert_eq!(lease.try_start(start + PULL_LEASE_TTL / 2), None);
+    let second = lease
         .try_start(start + PULL_LEASE_TTL)
-        .expect("the first one hangs");
-    // The first ends late, which says nothing about the second.
-    mark.finish(first);
-    assert_eq!(mark.try_start(start + PULL_LEASE_TTL), None);
-    mark.finish(second);
-    assert!(mark.try_start(start + PULL_LEASE_TTL).is_some());
+        .expect("the lease of the first pull has expired");
+    // The late end of the first pull must not release the lease of the second.
+    lease.finish(first);
+    assert_eq!(lease.try_start(start + PULL_LEASE_TTL), None);
+    lease.finish(second);
+    assert!(lease.try_start(start + PULL_LEASE_TTL).is_some());
 }
 
 #[yare::parameterized(
-    one_kind_of_vm = { &[1_000, 1_000, 1_000] },
-    two_wide_links = { &[7, 140, 7, 140, 7] },
-    nobody_says = { &[0, 0, 0] },
+    equal_links = { &[1_000, 1_000, 1_000] },
+    two_fast_links = { &[7, 140, 7, 140, 7] },
+    unknown_links = { &[0, 0, 0] },
 )]
-fn who_reads_and_relays_has_a_wide_link(links: &[u32]) {
+fn readers_and_relays_are_the_members_with_the_fastest_links(link_rates: &[u32]) {
     let now = Instant::now();
-    let linked = |host: usize| MemberRecord {
-        link: LinkRate(links[host]),
-        ..member(host as u16 + 1, true)
+    let member_at = |index: usize| MemberRecord {
+        link: LinkRate(link_rates[index]),
+        ..member(index as u16 + 1, true)
     };
-    let mut table = MemberTable::new(linked(0), now);
-    for host in 1..links.len() {
-        table.merge(linked(host), now);
+    let mut table = MemberTable::new(member_at(0), now);
+    for index in 1..link_rates.len() {
+        table.merge(member_at(index), now);
     }
-    let place = "r1-a".parse().expect("a name");
-    let widest = links.iter().max().copied().unwrap_or_default();
-    let link_of = |node: &NodeAddress| table.get(*node).map(|entry| entry.record.link.0);
-    let chosen = [readers(&table, &place), relays(&table, &place)].concat();
-    assert_eq!(chosen.len(), 3, "one reader and two relays");
-    for node in &chosen {
-        assert_eq!(link_of(node), Some(widest), "{node}");
+    let data_centre = "r1-a".parse().expect("a name");
+    let fastest = link_rates.iter().max().copied().unwrap_or_default();
+    let link_rate_of = |node: &NodeAddress| table.get(*node).map(|entry| entry.record.link.0);
+    let selected = [readers(&table, &data_centre), relays(&table, &data_centre)].concat();
+    assert_eq!(selected.len(), 3, "one reader and two relays");
+    for node in &selected {
+        assert_eq!(link_rate_of(node), Some(fastest), "{node}");
     }
 }
 
 #[test]
-fn a_role_for_two_goes_to_the_one_wide_link_and_a_thin_one() {
+fn a_single_fast_link_is_the_first_relay_and_a_slow_one_the_second() {
     let now = Instant::now();
-    let linked = |host: u16, link: u32| MemberRecord {
-        link: LinkRate(link),
+    let member_with_link = |host: u16, link_rate: u32| MemberRecord {
+        link: LinkRate(link_rate),
         ..member(host, true)
     };
-    let mut table = MemberTable::new(linked(1, 7), now);
-    table.merge(linked(2, 140), now);
-    table.merge(linked(3, 7), now);
-    let chosen = relays(&table, &"r1-a".parse().expect("a name"));
-    assert_eq!(chosen.len(), RELAYS_PER_DATA_CENTRE);
-    assert_eq!(chosen[0], address(2));
+    let mut table = MemberTable::new(member_with_link(1, 7), now);
+    table.merge(member_with_link(2, 140), now);
+    table.merge(member_with_link(3, 7), now);
+    let relays = relays(&table, &"r1-a".parse().expect("a name"));
+    assert_eq!(relays.len(), RELAYS_PER_DATA_CENTRE);
+    assert_eq!(relays[0], address(2));
 }
