--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,4 +1,8 @@
-//! A budget of retries as a share of recent calls.
+//! Retry budget: limits retries to a share of recent calls.
+//!
+//! The budget is a token bucket. Every first attempt adds a fraction of a token,
+//! a small number of tokens is added per unit of time, and every retry takes one
+//! token.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -6,63 +10,72 @@
 use crate::clock::{SharedClock, lock};
 use crate::ids::Percent;
 
-/// Retries a second allowed at any rate of calls, so that a service with few
-/// calls can be retried at all.
+/// Retries per second that are allowed at any call rate, so that a service with
+/// few calls can be retried at all.
 pub const MIN_RETRIES_PER_SECOND: f64 = 1.0;
 
-/// Most retries kept. A burst of failures may spend what some seconds of calls
-/// have earned, not what a quiet night has.
+/// Capacity of the budget. It lets a burst of failures spend the tokens that some
+/// seconds of calls have added, but not those accumulated over hours without
+/// failures.
 pub const MAX_TOKENS: f64 = 100.0;
 
-/// Time over which unused retries are kept.
+/// Time for which tokens that are added over time accumulate.
 pub const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
-/// The retries that all nodes together may add for one service.
+/// A limit on the retries that all nodes together send to one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimit {
-    /// Retries as a share of the calls, 0 to 1.
+    /// Retries as a fraction of the calls, from 0 to 1.
     pub ratio: f64,
-    /// Retries in one window at any rate of calls, by all nodes together.
+    /// Additional retries of all nodes together in one window at any call rate.
     pub slack: f64,
-    /// The window.
+    /// The window to which `slack` applies.
     pub window: Duration,
 }
 
-/// Part of a shared limit that is used. A retry makes its own calls again, and
-/// those count as retries of other services, which no node here can see.
+/// Fraction of a shared limit that the nodes use. A retried call repeats its own
+/// calls to other services, which count as retries of those services and which
+/// the nodes cannot detect.
 const SHARED_LIMIT_FRACTION: f64 = 0.4;
 
-/// Least number of retries that one node keeps of a shared slack.
+/// Minimum capacity of one node's share of a limit, in tokens.
 const MIN_SHARED_TOKENS: f64 = 2.0;
 
-/// How the tokens of one node are earned and kept.
+/// The refill rate and the capacity of one node's token bucket.
 #[derive(Debug, Clone, Copy)]
 struct TokenRate {
-    floor_per_second: f64,
-    floor: f64,
-    most: f64,
+    /// Tokens added per second while there are fewer than `refill_level`.
+    refill_per_second: f64,
+    /// Number of tokens up to which they are added over time.
+    refill_level: f64,
+    /// Maximum number of tokens.
+    capacity: f64,
 }
 
 impl TokenRate {
-    fn alone() -> Self {
+    /// Returns the rate of a budget without a shared limit.
+    fn unshared() -> Self {
         Self {
-            floor_per_second: MIN_RETRIES_PER_SECOND,
-            floor: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
-            most: MAX_TOKENS,
+            refill_per_second: MIN_RETRIES_PER_SECOND,
+            refill_level: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
+            capacity: MAX_TOKENS,
         }
     }
 
-    /// Returns the share of one of `members` nodes: what it may keep for a burst
-    /// is also what it earns in a window, and the two together stay below the
-    /// slack when all nodes spend theirs, but for the least that each may keep.
+    /// Returns the rate of one of `members` nodes that share a limit.
+    ///
+    /// A node can accumulate as many tokens for a burst as are added over time in
+    /// one window. If all nodes spend both, the sum stays below the limit's
+    /// slack, except that every node may accumulate at least
+    /// `MIN_SHARED_TOKENS`.
     fn share_of(limit: RetryLimit, members: usize) -> Self {
         let share = limit.slack * SHARED_LIMIT_FRACTION / members.max(1) as f64;
-        let floor_per_second = share / limit.window.as_secs_f64().max(1.0);
-        let floor = share.max(MIN_SHARED_TOKENS);
+        let refill_per_second = share / limit.window.as_secs_f64().max(1.0);
+        let refill_level = share.max(MIN_SHARED_TOKENS);
         Self {
-            floor_per_second,
-            floor,
-            most: floor,
+            refill_per_second,
+            refill_level,
+            capacity: refill_level,
         }
     }
 }
@@ -71,10 +84,10 @@
 struct BudgetState {
     tokens: f64,
     rate: TokenRate,
-    updated: Instant,
+    refilled: Instant,
 }
 
-/// The retries that one node may add for one service.
+/// The budget of one node for retries to one service.
 #[derive(Debug)]
 pub struct RetryBudget {
     state: Mutex<BudgetState>,
@@ -83,59 +96,63 @@
 }
 
 impl RetryBudget {
-    /// Returns a budget with the floor's worth of retries.
+    /// Returns a budget without a shared limit. It starts with the tokens that are
+    /// added over time in [`BUDGET_WINDOW`].
     pub fn new(clock: SharedClock) -> Self {
-        let updated = clock.now();
+        let refilled = clock.now();
         Self {
             state: Mutex::new(BudgetState {
                 tokens: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
-                rate: TokenRate::alone(),
-                updated,
+                rate: TokenRate::unshared(),
+                refilled,
             }),
             limit: None,
             clock,
         }
     }
 
-    /// Returns the share that one of `members` nodes has of a limit on all.
+    /// Returns the budget of one of `members` nodes that share a limit.
     pub fn shared(clock: SharedClock, limit: RetryLimit, members: usize) -> Self {
         let rate = TokenRate::share_of(limit, members);
         Self {
             state: Mutex::new(BudgetState {
-                tokens: rate.floor,
+                tokens: rate.refill_level,
                 rate,
-                updated: clock.now(),
+                refilled: clock.now(),
             }),
             limit: Some(limit),
             clock,
         }
     }
 
-    /// Takes note of how many nodes share the limit.
+    /// Updates the number of nodes that share the limit.
     pub fn set_members(&self, members: usize) {
         if let Some(limit) = self.limit {
             lock(&self.state).rate = TokenRate::share_of(limit, members);
         }
     }
 
-    /// Counts a first attempt, which earns a share of a retry.
-    pub fn record_call(&self, share: Percent) {
-        let share = match self.limit {
+    /// Records the first attempt of a call, which adds a fraction of a token.
+    ///
+    /// The fraction follows from the ratio of the shared limit or, if there is no
+    /// shared limit, from `retry_percent`.
+    pub fn record_call(&self, retry_percent: Percent) {
+        let earned = match self.limit {
             Some(limit) => limit.ratio * SHARED_LIMIT_FRACTION,
-            None => f64::from(share.0) / 100.0,
+            None => f64::from(retry_percent.0) / 100.0,
         };
         let mut state = lock(&self.state);
-        state.tokens = (state.tokens + share).min(state.rate.most.max(state.tokens));
+        state.tokens = (state.tokens + earned).min(state.rate.capacity.max(state.tokens));
     }
 
-    /// Tells whether there is a retry in the budget, without taking it.
+    /// Returns `true` if the budget allows a retry, without taking a token.
     pub fn has_retry(&self) -> bool {
-        self.renewed().tokens >= 1.0
+        self.refill().tokens >= 1.0
     }
 
-    /// Takes a retry from the budget; returns whether there was one.
+    /// Takes the token for one retry. Returns `false` if there is none.
     pub fn try_take(&self) -> bool {
-        let mut state = self.renewed();
+        let mut state = self.refill();
         if state.tokens < 1.0 {
             return false;
         }
@@ -143,16 +160,16 @@
         true
     }
 
-    /// Returns the state with what was earned until now.
-    fn renewed(&self) -> std::sync::MutexGuard<'_, BudgetState> {
+    /// Locks the state and adds the tokens that are due.
+    fn refill(&self) -> std::sync::MutexGuard<'_, BudgetState> {
         let now = self.clock.now();
         let mut state = lock(&self.state);
-        let elapsed = now.duration_since(state.updated).as_secs_f64();
-        state.updated = now;
+        let elapsed = now.duration_since(state.refilled).as_secs_f64();
+        state.refilled = now;
         let rate = state.rate;
-        if state.tokens < rate.floor {
-            let earned = elapsed * rate.floor_per_second;
-            state.tokens = (state.tokens + earned).min(rate.floor);
+        if state.tokens < rate.refill_level {
+            let earned = elapsed * rate.refill_per_second;
+            state.tokens = (state.tokens + earned).min(rate.refill_level);
         }
         state
     }
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,9 +1,10 @@
-//! Bounds on retries: how many, and until when.
+//! Limits on retries: a budget and a deadline.
 //!
-//! Calls go many services deep. If each layer retried freely, a failing leaf
-//! would be hit a number of times that grows with a power of the depth. So
-//! only the node next to a failure retries, within a budget, and never past
-//! the deadline that travels with the call.
+//! Call chains pass through many services. If every layer retried without
+//! limits, the load on a failing service at the end of the chain would grow
+//! exponentially with its depth. So only the node next to a failure retries,
+//! within a budget, and never beyond the deadline that is propagated with the
+//! call.
 
 pub mod budget;
 pub mod deadline;
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -1,4 +1,4 @@
-//! The gate: slots, the ledger, claims and quarantine.
+//! Tests of the gate: slots, call ledger, claims and quarantine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,15 +25,15 @@
     (SlotGate::new(slots, shared), clock)
 }
 
-async fn take(gate: &SlotGate, class: CallClass, until: Instant) -> SlotPermit {
-    gate.acquire(class, until).await.expect("a slot")
+async fn acquire_slot(gate: &SlotGate, class: CallClass, deadline: Instant) -> SlotPermit {
+    gate.acquire(class, deadline).await.expect("a free slot")
 }
 
 #[tokio::test]
 async fn calls_wait_by_class_and_then_by_deadline() {
     let (gate, clock) = gate(1);
-    let until = |ms| clock.now() + Duration::from_millis(ms);
-    let held = take(&gate, CallClass::Interactive, until(1000)).await;
+    let deadline_in = |ms| clock.now() + Duration::from_millis(ms);
+    let held = acquire_slot(&gate, CallClass::Interactive, deadline_in(1000)).await;
     let mut waiting = Vec::new();
     let (sender, mut order) = tokio::sync::mpsc::unbounded_channel();
     for (name, class, ms) in [
@@ -41,9 +41,9 @@
         ("late", CallClass::Interactive, 900),
         ("soon", CallClass::Interactive, 500),
     ] {
-        let (other, sender, until) = (gate.clone(), sender.clone(), until(ms));
+        let (shared_gate, sender, deadline) = (gate.clone(), sender.clone(), deadline_in(ms));
         waiting.push(tokio::spawn(async move {
-            let permit = other.acquire(class, until).await;
+            let permit = shared_gate.acquire(class, deadline).await;
             sender.send((name, permit)).expect("a receiver");
         }));
         while gate.load().waiting < waiting.len() {
@@ -61,12 +61,12 @@
 #[tokio::test]
 async fn a_call_that_cannot_end_in_time_is_refused_at_once() {
     let (gate, clock) = gate(1);
-    let until = |ms| clock.now() + Duration::from_millis(ms);
-    let first = take(&gate, CallClass::Interactive, until(1000)).await;
+    let deadline_in = |ms| clock.now() + Duration::from_millis(ms);
+    let first = acquire_slot(&gate, CallClass::Interactive, deadline_in(1000)).await;
     clock.advance(Duration::from_millis(100));
     drop(first);
-    let _held = take(&gate, CallClass::Interactive, until(1000)).await;
-    let refused = gate.acquire(CallClass::Interactive, until(50)).await;
+    let _held = acquire_slot(&gate, CallClass::Interactive, deadline_in(1000)).await;
+    let refused = gate.acquire(CallClass::Interactive, deadline_in(50)).await;
     assert_eq!(refused.err(), Some(RefusalReason::Saturated));
     let late = gate.acquire(CallClass::Interactive, clock.now()).await;
     assert_eq!(late.err(), Some(RefusalReason::Deadline));
@@ -75,23 +75,23 @@
 #[tokio::test]
 async fn a_full_queue_sheds_its_last_call_and_a_drain_sheds_all() {
     let (gate, clock) = gate(1);
-    let until = |ms| clock.now() + Duration::from_millis(ms);
-    let _held = take(&gate, CallClass::Interactive, until(1000)).await;
+    let deadline_in = |ms| clock.now() + Duration::from_millis(ms);
+    let _held = acquire_slot(&gate, CallClass::Interactive, deadline_in(1000)).await;
     let mut bulk = Vec::new();
     for count in 1..=4 {
-        let (other, until) = (gate.clone(), until(500));
+        let (shared_gate, deadline) = (gate.clone(), deadline_in(500));
         bulk.push(tokio::spawn(async move {
-            other.acquire(CallClass::Bulk, until).await.err()
+            shared_gate.acquire(CallClass::Bulk, deadline).await.err()
         }));
         while gate.load().waiting < count {
             tokio::task::yield_now().await;
         }
     }
-    let another = gate.acquire(CallClass::Bulk, until(600)).await;
-    assert_eq!(another.err(), Some(RefusalReason::Saturated));
+    let extra = gate.acquire(CallClass::Bulk, deadline_in(600)).await;
+    assert_eq!(extra.err(), Some(RefusalReason::Saturated));
     let urgent = {
-        let (gate, until) = (gate.clone(), until(900));
-        tokio::spawn(async move { gate.acquire(CallClass::Interactive, until).await.err() })
+        let (gate, deadline) = (gate.clone(), deadline_in(900));
+        tokio::spawn(async move { gate.acquire(CallClass::Interactive, deadline).await.err() })
     };
     let shed = bulk.pop().expect("a call").await.expect("no panic");
     assert_eq!(shed, Some(RefusalReason::Saturated));
@@ -103,8 +103,9 @@
         urgent.await.expect("no panic"),
         Some(RefusalReason::Draining)
     );
-    // A gate that admits after all would let this call wait for ever.
-    let after = gate.acquire(CallClass::Interactive, until(900));
+    // Without the timeout, a gate that queues the call after a drain would make
+    // the test hang.
+    let after = gate.acquire(CallClass::Interactive, deadline_in(900));
     let after = tokio::time::timeout(Duration::from_secs(30), after).await;
     assert_eq!(
         after.expect("an answer").err(),
@@ -137,34 +138,34 @@
 
 proptest! {
     #[test]
-    fn what_was_said_not_to_run_never_runs(steps in ledger_steps()) {
+    fn a_call_reported_as_not_run_never_starts(steps in ledger_steps()) {
         let clock = ManualClock::new();
         let ledger = CallLedger::new(Arc::clone(&clock) as SharedClock);
         let mut tickets: Vec<Option<CallTicket>> = (0..4).map(|_| None).collect();
         let mut started = [0_u32; 4];
-        let mut denied = [false; 4];
+        let mut reported_not_run = [false; 4];
         for step in steps {
             match step {
                 LedgerStep::Enter(call) => {
                     if let Ok(ticket) = ledger.register(CallId(call.into())) {
-                        // The same call is entered again only after it is forgotten.
+                        // A call can be registered again only after its entry expired.
                         tickets[usize::from(call)] = Some(ticket);
                     }
                 }
                 LedgerStep::Start(call) => {
-                    let place = usize::from(call);
-                    if started[place] == 0
-                        && let Some(ticket) = &mut tickets[place]
+                    let index = usize::from(call);
+                    if started[index] == 0
+                        && let Some(ticket) = &mut tickets[index]
                         && ticket.start().is_ok()
                     {
-                        prop_assert!(!denied[place]);
-                        started[place] += 1;
+                        prop_assert!(!reported_not_run[index]);
+                        started[index] += 1;
                     }
                 }
                 LedgerStep::End(call) => {
-                    let place = usize::from(call);
-                    if let Some(ticket) = tickets[place].take() {
-                        let end = if started[place] > 0 {
+                    let index = usize::from(call);
+                    if let Some(ticket) = tickets[index].take() {
+                        let result = if started[index] > 0 {
                             CallResult::Answered(StoredAnswer {
                                 status: 200,
                                 headers: Vec::new(),
@@ -173,17 +174,18 @@
                         } else {
                             CallResult::Refused(RefusalReason::Saturated)
                         };
-                        ticket.finish(end);
+                        ticket.finish(result);
                     }
                 }
                 LedgerStep::Drop(call) => tickets[usize::from(call)] = None,
                 LedgerStep::Revoke(call) => {
-                    let place = usize::from(call);
+                    let index = usize::from(call);
                     if let CallStatus::NotRun(_) = ledger.revoke(CallId(call.into())) {
-                        // A call that ran is remembered for as long as anyone
-                        // may ask; this run stays below that time.
-                        prop_assert_eq!(started[place], 0);
-                        denied[place] = true;
+                        // The result of a call that ran is stored for as long
+                        // as a node may query it, which is longer than the
+                        // steps of this test take.
+                        prop_assert_eq!(started[index], 0);
+                        reported_not_run[index] = true;
                     }
                 }
                 LedgerStep::Wait(ms) => clock.advance(Duration::from_millis(ms.into())),
@@ -229,7 +231,7 @@
     );
     let lost = ClaimOutcome::Lost(holder(1));
     assert_eq!(table.apply(&batch(2, 10, vec![claim(7, 2)])), [lost]);
-    // The same run asks again after a lost answer.
+    // The same run claims the key again after the answer was lost.
     assert_eq!(
         table.apply(&batch(3, 20, vec![claim(7, 1)])),
         [ClaimOutcome::Won]
@@ -238,7 +240,7 @@
         key: KeyHash(7),
         run: CallId(run),
     };
-    // Only the holder's release frees the key.
+    // Only the holder can release the key.
     table.apply(&batch(4, 30, vec![release(2)]));
     assert_eq!(table.holder(KeyHash(7)), Some(&holder(1)));
     table.apply(&batch(5, 40, vec![release(1)]));
@@ -255,35 +257,35 @@
 }
 
 #[test]
-fn a_key_is_forgotten_when_no_record_can_meet_it_alive() {
-    let slack = Duration::from_millis(100);
+fn a_key_is_removed_after_its_expiry_plus_clock_skew() {
+    let clock_skew = Duration::from_millis(100);
     let mut table = ClaimTable::default();
     table.apply(&batch(1, 0, vec![claim(7, 1)]));
-    table.remove_expired(1_099, slack);
+    table.remove_expired(1_099, clock_skew);
     assert_eq!(table.len(), 1);
-    table.remove_expired(1_100, slack);
+    table.remove_expired(1_100, clock_skew);
     assert!(table.is_empty());
 }
 
 proptest! {
     #[test]
-    fn two_keepers_never_both_win_a_key(
+    fn two_keepers_never_assign_a_key_to_different_runs(
         claims in prop::collection::vec((0..3_u128, 0..6_u128, any::<bool>()), 0..40),
     ) {
-        // Each keeper answers from its own fold of the one stream, however the
-        // records of both are mixed in it.
+        // Each keeper answers from its own table of the same stream, in which the
+        // records of both keepers are interleaved in any order.
         let mut stream: Vec<Vec<u8>> = Vec::new();
         let mut tables = [ClaimTable::default(), ClaimTable::default()];
         let mut winners: std::collections::HashMap<u128, u128> = Default::default();
         for (index, (key, run, keeper)) in claims.into_iter().enumerate() {
             stream.push(batch(index as u128, index as u64, vec![claim(key, run)]));
             let table = &mut tables[usize::from(keeper)];
-            let mut verdict = Vec::new();
+            let mut outcomes = Vec::new();
             while (table.next_offset().0 as usize) < stream.len() {
                 let next = table.next_offset().0 as usize;
-                verdict = table.apply(&stream[next]);
+                outcomes = table.apply(&stream[next]);
             }
-            if verdict == [ClaimOutcome::Won] {
+            if outcomes == [ClaimOutcome::Won] {
                 let winner = winners.entry(key).or_insert(run);
                 prop_assert_eq!(*winner, run);
             }
@@ -292,25 +294,25 @@
 }
 
 #[test]
-fn two_lost_targets_quarantine_a_request_and_time_ends_it() {
+fn two_lost_targets_quarantine_a_request_until_it_expires() {
     let now = Instant::now();
     let mut table = SuspectTable::new();
     let (bad, page) = (Fingerprint(1), Fingerprint(2));
     assert!(table.record_target_loss(bad, address(1), 5, now));
     assert!(
         !table.record_target_loss(bad, address(1), 5, now),
-        "news comes twice"
+        "the same loss is reported twice"
     );
     assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
     assert!(
         table.record_target_loss(bad, address(1), 6, now),
-        "the same target again"
+        "another loss of the same target"
     );
     assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
     table.record_target_loss(bad, address(2), 1, now);
     let until = now + QUARANTINE_DURATION;
     assert_eq!(table.status(bad, now), QuarantineStatus::Quarantined(until));
-    // A late success elsewhere does not end it, time does.
+    // A later success does not end the quarantine; only its expiry does.
     assert!(!table.record_success(bad));
     assert_eq!(table.status(bad, until), QuarantineStatus::Clean);
 
@@ -322,23 +324,23 @@
 
 proptest! {
     #[test]
-    fn news_of_a_loss_and_of_its_clearing_is_new_once(
-        repeats in prop::collection::vec((any::<bool>(), 0..3_u8, 0..2_u64), 0..60),
+    fn a_loss_and_its_clearing_are_each_new_only_once(
+        reports in prop::collection::vec((any::<bool>(), 0..3_u8, 0..2_u64), 0..60),
     ) {
-        // Nodes pass on what is new to them. Were old news ever new again, two
-        // nodes would tell each other of a loss and its clearing for ever.
+        // Nodes forward what is new to them. If an old loss or clearing could
+        // become new again, two nodes would send both to each other forever.
         let now = Instant::now();
         let mut table = SuspectTable::new();
-        let mut news = 0;
-        for (is_loss, host, loss) in repeats {
+        let mut new_count = 0;
+        for (is_loss, host, loss_number) in reports {
             let is_new = if is_loss {
-                table.record_target_loss(Fingerprint(1), address(host), loss, now)
+                table.record_target_loss(Fingerprint(1), address(host), loss_number, now)
             } else {
                 table.clear(Fingerprint(1))
             };
-            news += u32::from(is_new);
+            new_count += u32::from(is_new);
         }
-        // Each of six losses is new once and may be cleared once.
-        prop_assert!(news <= 12, "{news} pieces of news");
+        // Each of six losses is new once and can be cleared once.
+        prop_assert!(new_count <= 12, "{new_count} reports were new");
     }
 }
