--- a/wisteriaturnd/src/admin/change.rs
+++ b/wisteriaturnd/src/admin/change.rs
@@ -55,13 +55,13 @@
     pub delete: Option<String>,
     /// Precondition on the current revision of the resource.
     #[serde(default)]
-    pub expect: Option<RawExpectation>,
+    pub expect: Option<RawPrecondition>,
 }
 
 /// A precondition as written in a request: a revision, `"any"` or `"absent"`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged)]
-pub enum RawExpectation {
+pub enum RawPrecondition {
     /// The resource must have this revision.
     Revision(u64),
     /// `"any"` or `"absent"`; other words are rejected during conversion.
@@ -129,15 +129,15 @@
     }
 }
 
-impl TryFrom<RawExpectation> for Precondition {
+impl TryFrom<RawPrecondition> for Precondition {
     type Error = String;
 
-    fn try_from(raw: RawExpectation) -> Result<Self, String> {
+    fn try_from(raw: RawPrecondition) -> Result<Self, String> {
         match raw {
-            RawExpectation::Revision(revision) => Ok(Precondition::At(Revision(revision))),
-            RawExpectation::Word(word) if word == "any" => Ok(Precondition::Any),
-            RawExpectation::Word(word) if word == "absent" => Ok(Precondition::Absent),
-            RawExpectation::Word(word) => Err(format!(
+            RawPrecondition::Revision(revision) => Ok(Precondition::At(Revision(revision))),
+            RawPrecondition::Word(word) if word == "any" => Ok(Precondition::Any),
+            RawPrecondition::Word(word) if word == "absent" => Ok(Precondition::Absent),
+            RawPrecondition::Word(word) => Err(format!(
                 "expect = {word:?} is not allowed; allowed: a revision, \"any\", \"absent\""
             )),
         }
--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -23,7 +23,7 @@
 use wisteriaturn::config::resource::{Resource, ResourceKey, ResourceKind};
 use wisteriaturn::ids::{ChangeId, ConfigVersion, ServiceName};
 
-use crate::admin::change::{RawChange, RawExpectation, RawOperation, apply, find_report};
+use crate::admin::change::{RawChange, RawOperation, RawPrecondition, apply, find_report};
 use crate::admin::reply::{error_reply, json_reply, text_reply};
 use crate::admin::view;
 use crate::gate::targets::{self, AnnounceError, TargetAnnouncement};
@@ -224,17 +224,17 @@
 }
 
 /// Parses `If-Match: "revision"` and `If-None-Match: *` into a precondition.
-fn parse_precondition(headers: &HeaderMap) -> Result<Option<RawExpectation>, String> {
+fn parse_precondition(headers: &HeaderMap) -> Result<Option<RawPrecondition>, String> {
     if let Some(tag) = headers.get(IF_MATCH) {
         let text = tag.to_str().unwrap_or_default().trim_matches('"');
         let revision = text
             .parse()
             .map_err(|_| "If-Match must be a single quoted revision".to_owned())?;
-        return Ok(Some(RawExpectation::Revision(revision)));
+        return Ok(Some(RawPrecondition::Revision(revision)));
     }
     match headers.get(IF_NONE_MATCH).map(|tag| tag.as_bytes()) {
         None => Ok(None),
-        Some(b"*") => Ok(Some(RawExpectation::Word("absent".to_owned()))),
+        Some(b"*") => Ok(Some(RawPrecondition::Word("absent".to_owned()))),
         Some(_) => Err("If-None-Match must be *".to_owned()),
     }
 }
@@ -246,7 +246,7 @@
     kind: &str,
     name: &str,
     body: &Bytes,
-    expect: Option<RawExpectation>,
+    expect: Option<RawPrecondition>,
 ) -> Result<RawChange, String> {
     let kind: ResourceKind = kind.parse()?;
     let key = ResourceKey::new(kind, name);
