--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -1,25 +1,26 @@
-//! Authentication of messages with a key that all nodes share.
+//! Message authentication with keys that all nodes share.
 //!
-//! A tag is a BLAKE3 keyed hash over the message, cut to 16 bytes. Two keys
-//! are accepted at once, so that a key can be changed without a stop: first
-//! every node accepts the new key, then every node sends with it.
+//! A tag is a BLAKE3 keyed hash of the message, truncated to 16 bytes. Two keys
+//! can be accepted at once, so that a key can be rotated without downtime:
+//! first, every node is set to accept the new key, then every node is set to
+//! sign with it.
 
 use bytes::Bytes;
 
 use crate::error::CodecError;
 
-/// Bytes of a tag.
+/// Length of an authentication tag in bytes.
 pub const TAG_LENGTH: usize = 16;
 
-/// The keys of the mesh: the first signs, all are accepted.
+/// The authentication keys of the mesh. The first one signs; tags of all of
+/// them are accepted.
 #[derive(Clone)]
 pub struct MeshKeys {
     keys: Vec<[u8; 32]>,
 }
 
 impl MeshKeys {
-    /// Returns the keys derived from the secrets of the settings; the first
-    /// one signs.
+    /// Derives the keys from the secrets in the settings. The first one signs.
     pub fn derive<'a, I>(secrets: I) -> Self
     where
         I: IntoIterator<Item = &'a str>,
@@ -31,7 +32,7 @@
         Self { keys }
     }
 
-    /// Returns the tag of a message.
+    /// Returns the authentication tag of a message.
     pub fn sign(&self, message: &[u8]) -> [u8; TAG_LENGTH] {
         self.keys
             .first()
@@ -39,41 +40,43 @@
             .unwrap_or_default()
     }
 
-    /// Tells whether `given` is the tag of `message` under an accepted key.
-    pub fn verify(&self, message: &[u8], given: &[u8]) -> bool {
-        let Ok(given) = <[u8; TAG_LENGTH]>::try_from(given) else {
+    /// Returns `true` if `received_tag` is the tag of `message` under an
+    /// accepted key.
+    pub fn verify(&self, message: &[u8], received_tag: &[u8]) -> bool {
+        let Ok(received_tag) = <[u8; TAG_LENGTH]>::try_from(received_tag) else {
             return false;
         };
-        // The comparison of `blake3::Hash` takes the same time for any input.
+        // `blake3::Hash` compares in constant time.
         let pad = |tag: [u8; TAG_LENGTH]| {
-            let mut whole = [0; 32];
-            whole[..TAG_LENGTH].copy_from_slice(&tag);
-            blake3::Hash::from_bytes(whole)
+            let mut padded = [0; 32];
+            padded[..TAG_LENGTH].copy_from_slice(&tag);
+            blake3::Hash::from_bytes(padded)
         };
         self.keys
             .iter()
-            .any(|key| pad(tag(key, message)) == pad(given))
+            .any(|key| pad(tag(key, message)) == pad(received_tag))
     }
 
-    /// Appends the tag to a message.
+    /// Appends the authentication tag to a message.
     pub fn seal(&self, mut message: Vec<u8>) -> Bytes {
         let tag = self.sign(&message);
         message.extend_from_slice(&tag);
         Bytes::from(message)
     }
 
-    /// Takes the tag off a message and checks it.
+    /// Verifies the tag at the end of a message and returns the message without
+    /// it.
     ///
     /// # Errors
     ///
-    /// [`CodecError::Unauthenticated`] when no accepted key made the tag.
+    /// Returns [`CodecError::Unauthenticated`] if no accepted key made the tag.
     pub fn open<'a>(&self, sealed: &'a [u8]) -> Result<&'a [u8], CodecError> {
-        let split = sealed
+        let message_length = sealed
             .len()
             .checked_sub(TAG_LENGTH)
             .ok_or(CodecError::Unauthenticated)?;
-        let (message, given) = sealed.split_at(split);
-        if self.verify(message, given) {
+        let (message, received_tag) = sealed.split_at(message_length);
+        if self.verify(message, received_tag) {
             Ok(message)
         } else {
             Err(CodecError::Unauthenticated)
@@ -83,7 +86,7 @@
 
 impl std::fmt::Debug for MeshKeys {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The keys stay out of logs.
+        // Only the number of keys is written, so that no key appears in logs.
         write!(f, "MeshKeys({})", self.keys.len())
     }
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,9 +1,9 @@
-//! The frames of requests and answers between nodes.
+//! Framing of requests and answers between nodes.
 //!
-//! Most are small. A whole configuration is not: a thousand routes take some
-//! 300 kB, of which most repeats, and they go to every member over links that
-//! are thin or billed by volume. So a large message is compressed; a small one
-//! would only grow.
+//! Most messages are small. A whole configuration is not: a thousand routes
+//! take about 300 kB, most of it repetitive, and they go to every member over
+//! links that are slow or billed by volume. Large messages are therefore
+//! compressed; small ones would only grow.
 
 use lz4_flex::block::{compress, decompress};
 use serde::Serialize;
@@ -12,20 +12,21 @@
 use crate::error::CodecError;
 use crate::peer::message::{MAX_FRAME_BYTES, decode, encode};
 
-/// Bytes from which a message is compressed: about one packet.
+/// Length in bytes from which a message is compressed: about one packet.
 pub const MIN_COMPRESSED_BYTES: usize = 1_200;
 
-/// First byte of a message as it is.
+/// First byte of the frame of an uncompressed message.
 const PLAIN: u8 = 0;
 
-/// First byte of a compressed message; its length follows in four bytes.
+/// First byte of the frame of a compressed message. The uncompressed length
+/// follows in four bytes, big-endian.
 const COMPRESSED: u8 = 1;
 
 /// Encodes a message as a frame.
 ///
 /// # Errors
 ///
-/// [`CodecError`] when the message cannot be encoded.
+/// Returns a [`CodecError`] if the message cannot be encoded.
 pub fn encode_frame<T>(message: &T) -> Result<Vec<u8>, CodecError>
 where
     T: Serialize,
@@ -48,11 +49,13 @@
     Ok(frame)
 }
 
-/// Decodes a frame. Its length is checked before memory is taken for it.
+/// Decodes a frame. The declared length is checked before memory is allocated
+/// for it.
 ///
 /// # Errors
 ///
-/// [`CodecError`] when it is torn, too large or in an unknown format.
+/// Returns a [`CodecError`] if the frame is malformed, too large or of an
+/// unknown format.
 pub fn decode_frame<T>(frame: &[u8]) -> Result<T, CodecError>
 where
     T: DeserializeOwned,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,7 +1,8 @@
 //! The typed messages between nodes.
 //!
-//! Datagrams carry probes and pushes, which may be lost. Requests go over a
-//! connection, since their answers may be large and a loss must be noticed.
+//! Datagrams carry probes and gossip, which may be lost. Requests are sent over
+//! a connection, because their answers may be large and a loss must be
+//! detected.
 
 use std::collections::BTreeMap;
 
@@ -18,195 +19,211 @@
 use crate::member::record::{MemberRecord, TargetDeparture};
 use crate::member::rumor::Rumor;
 
-/// Largest datagram in bytes; below the smallest usual path limit.
+/// Largest datagram in bytes, below the smallest common path MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// Bytes that rumors may take in one probe.
+/// Largest encoded size in bytes of the rumors in one probe.
 pub const MAX_RUMOR_BYTES: usize = 700;
 
-/// Largest request or answer in bytes.
+/// Largest encoded request or answer in bytes.
 pub const MAX_FRAME_BYTES: usize = 20 * 1024 * 1024;
 
-/// Bytes of configuration records in one answer.
+/// Largest total size in bytes of the configuration records in one answer.
 pub const MAX_RECORDS_BYTES: usize = 1024 * 1024;
 
 record! {
-    /// What a node says of its state with every probe.
+    /// The state of a node, which is sent with every probe.
     #[derive(Copy)]
     pub struct NodeStatus {
-        /// Version of the view in force.
+        /// Version of the view that is in force.
         pub version: ConfigVersion,
-        /// First bytes of the hash over the records folded.
+        /// First bytes of the hash chain over the configuration records that
+        /// were applied.
         pub chain: u64,
-        /// Digest over the members known.
+        /// Digest of the member table.
         pub digest: u64,
     }
 
-    /// A message without an answer, or with one that may be lost.
+    /// A message that has no answer, or whose answer may be lost.
     pub enum Datagram {
-        /// Asks whether the receiver answers.
+        /// Probes the receiver.
         Ping {
             /// Number that the answer repeats.
             nonce: u64,
             /// State of the sender.
             status: NodeStatus,
-            /// News.
+            /// Rumors that are piggybacked on the probe.
             rumors: Vec<Rumor>,
         },
-        /// Answers a ping.
+        /// Answers a [`Datagram::Ping`].
         Ack {
-            /// Number of the ping.
+            /// The nonce of the ping.
             nonce: u64,
             /// State of the sender.
             status: NodeStatus,
-            /// News.
+            /// Rumors that are piggybacked on the answer.
             rumors: Vec<Rumor>,
         },
-        /// Asks the receiver to ping another node on the sender's behalf.
+        /// Asks the receiver to probe another node on the sender's behalf.
         IndirectPing {
             /// Number that the answer repeats.
             nonce: u64,
-            /// Node to ping.
+            /// The node to probe.
             target: NodeAddress,
         },
-        /// Says that the node of a [`Datagram::IndirectPing`] answered.
+        /// Reports that the target of a [`Datagram::IndirectPing`] answered.
         IndirectAck {
-            /// Number of the request.
+            /// The nonce of the indirect ping.
             nonce: u64,
         },
-        /// A configuration record.
+        /// Announces a configuration record.
         Record {
-            /// Version that the record leads to.
+            /// Version of the configuration after the record is applied.
             version: ConfigVersion,
-            /// The record, or nothing when it is too large for a datagram.
+            /// The record, or `None` if it is too large for a datagram.
             record: Option<Bytes>,
         },
-        /// Urgent news.
+        /// Carries rumors that are sent at once instead of with a probe.
         Rumors {
-            /// The news.
+            /// The rumors.
             rumors: Vec<Rumor>,
         },
-        /// Says that the sender reads the source of documents for the receiver
-        /// and had an answer just now.
+        /// Tells the receiver that the sender reads the document source for it
+        /// and has just had an answer from the source.
         ReaderHeartbeat {
-            /// Version in force at the sender.
+            /// Version that is in force at the sender.
             version: ConfigVersion,
-            /// Where the sender goes on reading: all before it is in force, so
-            /// that a receiver which has to read itself reads nothing twice.
+            /// Position from which the sender goes on reading. Everything
+            /// before it is in force, so that a receiver that has to read for
+            /// itself reads nothing twice.
             position: Offset,
         },
     }
 
-    /// A request over a connection.
+    /// A request that is sent over a connection.
     pub enum PeerRequest {
-        /// Asks for the members and the configuration, to start from them.
+        /// Sent by a joining node to ask for the members and the state of the
+        /// receiver.
         Join {
-            /// Record of the node that joins.
+            /// Record of the joining node.
             record: MemberRecord,
-            /// Digests of the members that it knows, so that it is told only
-            /// of data centres that differ.
+            /// Digests of the members that the joining node knows, so that the
+            /// answer is limited to data centres that differ.
             digests: BTreeMap<DataCentre, u64>,
         },
-        /// Compares the members of each data centre.
+        /// Compares the members of each data centre, as the first step of
+        /// anti-entropy.
         Compare {
-            /// Digests of the sender.
+            /// The sender's digest of each data centre.
             digests: BTreeMap<DataCentre, u64>,
         },
-        /// Gives records that the receiver may lack and asks for the rest.
+        /// Sends records that the receiver may lack and asks for those that the
+        /// sender lacks.
         Exchange {
-            /// Data centres that differ.
+            /// The data centres whose members differ.
             data_centres: Vec<DataCentre>,
-            /// All records of the sender in them.
+            /// All records that the sender has of members in these data
+            /// centres.
             records: Vec<MemberRecord>,
         },
-        /// Asks for the configuration after a version.
+        /// Asks for the configuration changes after a version.
         Pull {
-            /// Version that the sender holds.
+            /// The version that the sender holds.
             version: ConfigVersion,
         },
-        /// Asks which live members of the receiver's data centre lack a version.
+        /// Asks which live members of the receiver's data centre lack a
+        /// version.
         Holders {
             /// The version.
             version: ConfigVersion,
         },
         /// Asks a keeper to claim or release keys.
         Claim(ClaimRequest),
-        /// Asks what became of a call, through a node that may reach its gate.
+        /// Asks a node that may be able to reach the gate of a call to revoke
+        /// the call there and to report its outcome.
         Inquire {
-            /// Where the gate takes calls.
+            /// The address on which the gate accepts calls from other nodes.
             hop: NodeAddress,
             /// The call.
             call: CallId,
-            /// Life of the gate that the call went to.
+            /// Boot id of the gate that the call was sent to.
             boot_id: BootId,
         },
     }
 
-    /// The answer to a request.
+    /// The answer to a [`PeerRequest`].
     pub enum PeerAnswer {
-        /// Try another node or come back later.
+        /// The receiver is busy: the sender should try another node or retry
+        /// later.
         Busy,
-        /// The members, the state of the receiver, and the highest version
-        /// and incarnation that it saw at the sender's address.
+        /// Answers a [`PeerRequest::Join`] with the members, the state of the
+        /// receiver, and the highest version and incarnation that it has seen
+        /// at the sender's address.
         Joined {
-            /// Members of the data centres that differ.
+            /// Records of the members in the data centres that differ.
             records: Vec<MemberRecord>,
             /// State of the receiver.
             status: NodeStatus,
             /// Whether the receiver's view is current.
             is_ready: bool,
-            /// Version last seen at the sender's address.
+            /// Highest version seen at the sender's address.
             seen_version: ConfigVersion,
-            /// Incarnation last seen at the sender's address.
+            /// Highest incarnation seen at the sender's address.
             seen_incarnation: Incarnation,
-            /// Targets that an earlier life of the sender knew to leave.
+            /// Target departures that an earlier incarnation of the sender
+            /// announced.
             departures: Vec<TargetDeparture>,
         },
         /// The data centres whose members differ.
         Differing(Vec<DataCentre>),
-        /// Records that the receiver holds and the sender lacks.
+        /// Records that the receiver holds and the sender lacks or has an older
+        /// version of.
         Records(Vec<MemberRecord>),
-        /// Records of the configuration, without gaps.
+        /// Consecutive configuration records.
         Tail {
-            /// Version that the first record leads to.
+            /// Version of the configuration after the first record is applied.
             first: ConfigVersion,
             /// The records.
             records: Vec<Bytes>,
         },
         /// A snapshot of the configuration.
         Snapshot(Bytes),
-        /// Who holds a version in one data centre.
+        /// Which members of one data centre hold a version.
         Holders(HolderReport),
-        /// What became of claims, in the order asked.
+        /// The verdicts on claims, in the order of the request.
         Claimed(Vec<ClaimOutcome>),
-        /// What a gate said of a call.
+        /// What a gate reported about a call.
         Inquired(InquiryAnswer),
-        /// What changed since the document that the asker holds.
+        /// The changes since the document that the sender holds.
         Delta(DocumentDelta),
     }
 
-    /// What a gate says of a call that it was asked about.
+    /// A gate's answer to an inquiry about a call.
     pub enum InquiryAnswer {
-        /// The call never started and never will.
+        /// The call has not started and never will.
         NotRun(RefusalReason),
         /// The call ended.
         Ended(CallResult),
-        /// The gate cannot say.
+        /// The gate doesn't know.
         Unknown,
     }
 
-    /// Who holds a version in one data centre.
+    /// Which members of one data centre hold a version.
     pub struct HolderReport {
         /// The data centre.
         pub data_centre: DataCentre,
-        /// Live members that hold the version.
+        /// Number of live members that hold the version or a later one.
         pub holders: u32,
-        /// Live members that do not, or did not answer.
+        /// Live members that hold an earlier version or didn't answer.
         pub laggards: Vec<NodeAddress>,
     }
 }
 
 /// Encodes a message.
+///
+/// # Errors
+///
+/// Returns [`CodecError::Malformed`] if the message cannot be serialized.
 pub fn encode<T>(message: &T) -> Result<Vec<u8>, CodecError>
 where
     T: Serialize,
@@ -214,7 +231,12 @@
     postcard::to_stdvec(message).map_err(|_| CodecError::Malformed)
 }
 
-/// Decodes a message; bytes left over are an error.
+/// Decodes a message.
+///
+/// # Errors
+///
+/// Returns [`CodecError::Malformed`] if the bytes cannot be decoded or if any
+/// are left over.
 pub fn decode<T>(bytes: &[u8]) -> Result<T, CodecError>
 where
     T: DeserializeOwned,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,7 +1,8 @@
 //! The messages between nodes, their encoding and their authentication.
 //!
-//! Bytes are checked in a fixed order: length, then tag, then decoding. So a
-//! stranger reaches neither an allocation nor the decoder.
+//! Received bytes are checked in a fixed order: length, authentication tag,
+//! decoding. An unauthenticated sender can therefore neither cause an
+//! allocation nor reach the decoder.
 
 pub mod auth;
 pub mod frame;
