--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -1,10 +1,12 @@
-//! A replay of load against the decisions: arrivals, work and speeds drawn from
-//! a seed, a clock that the replay moves, no sockets and no tasks.
+//! A deterministic simulation of load on target selection and the gates:
+//! arrivals, run times and target speeds are drawn from a seed, the simulation
+//! moves the clock, and there are no sockets or tasks.
 //!
-//! Every call goes the way that it goes in a node: `choose_cheapest_target` at an ingress
-//! that knows of each target only what its own calls told it, the trip there,
-//! `SlotGate` at the target, the run, the trip back. What a call earns is what
-//! callers are served: all in time, part of it late, nothing after the deadline.
+//! Every call takes the same path as in a node: `choose_cheapest_target` at an
+//! ingress that knows about each target only what its own calls reported, the
+//! trip to the target, `SlotGate` there, the run, and the trip back. A call is
+//! worth what it is worth to its caller: everything in time, a part of it late,
+//! nothing after the deadline.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -25,73 +27,76 @@
 use wisteriaturn::route::cost::{CallRequirements, PlacementRequest, choose_cheapest_target};
 use wisteriaturn::route::load::{AttemptResult, ServiceLoad};
 
-/// Worth of a late answer.
-const LATE_WORTH: f64 = 0.3;
+/// Value of a late answer, as a share of one in time.
+const LATE_ANSWER_VALUE: f64 = 0.3;
 
-/// Attempts of one call that a gate may refuse.
-const REFUSAL_LIMIT: usize = 4;
+/// Number of refused attempts after which a call fails.
+const MAX_REFUSALS: usize = 4;
 
-/// Refusals for a long wait after which a call waits where it is.
-const CROWDED_LIMIT: usize = 3;
+/// Number of `Crowded` refusals after which a call waits at the chosen target
+/// however long the queue is.
+const MAX_CROWDED_REFUSALS: usize = 3;
 
-/// What is replayed.
+/// The parameters of a simulation.
 #[derive(Debug, Clone)]
 struct LoadPattern {
     seed: u64,
-    zones: usize,
-    ingresses_a_zone: usize,
-    /// Speeds of the targets of each zone.
+    data_centres: usize,
+    ingresses_per_data_centre: usize,
+    /// Speeds of the targets in each data centre.
     speeds: Vec<f64>,
-    /// Calls a second over all ingresses, as a share of what the targets can do.
+    /// Calls per second over all ingresses, as a share of the targets'
+    /// capacity.
     load: f64,
     seconds: u64,
     work: Duration,
     aim: Duration,
     deadline: Duration,
-    /// Whether calls say how long a wait is better than going elsewhere.
-    is_sent_on: bool,
+    /// Whether calls carry the longest wait that is better than going
+    /// elsewhere.
+    has_patience: bool,
 }
 
 impl LoadPattern {
-    /// Three regions of one zone, targets that differ threefold in speed, and
-    /// many ingresses, each with few calls.
+    /// Three regions with one data centre each, targets that differ in speed by
+    /// a factor of three, and many ingresses with few calls each.
     fn many_ingresses(seed: u64, load: f64) -> Self {
         Self {
             seed,
-            zones: 3,
-            ingresses_a_zone: 16,
+            data_centres: 3,
+            ingresses_per_data_centre: 16,
             speeds: vec![0.5, 1.0, 1.0, 1.5],
             load,
             seconds: 12,
             work: Duration::from_millis(160),
             aim: Duration::from_millis(500),
             deadline: Duration::from_millis(1_500),
-            is_sent_on: true,
+            has_patience: true,
         }
     }
 }
 
-/// What callers were served.
+/// How the calls ended for their callers.
 #[derive(Debug, Default)]
-struct ReplayResult {
+struct SimulationResult {
     calls: usize,
     in_time: usize,
     late: usize,
     refused: usize,
 }
 
-impl ReplayResult {
-    fn worth(&self) -> f64 {
-        (self.in_time as f64 + self.late as f64 * LATE_WORTH) / self.calls.max(1) as f64
+impl SimulationResult {
+    fn mean_value(&self) -> f64 {
+        (self.in_time as f64 + self.late as f64 * LATE_ANSWER_VALUE) / self.calls.max(1) as f64
     }
 }
 
 type SlotFuture = Pin<Box<dyn Future<Output = Result<SlotPermit, RefusalReason>>>>;
 
-/// A call on its way.
-struct ReplayCall {
+/// A call in flight.
+struct SimulatedCall {
     ingress: usize,
-    came: Instant,
+    arrived_at: Instant,
     tried: Vec<NodeAddress>,
     crowded: Vec<NodeAddress>,
     target: usize,
@@ -100,13 +105,13 @@
 
 enum Step {
     Arrive,
-    Reach(usize),
-    End(usize, SlotPermit, Duration),
-    Answer(usize),
-    Refused(usize, RefusalReason),
+    ReachGate(usize),
+    FinishRun(usize, SlotPermit, Duration),
+    ReceiveAnswer(usize),
+    ReceiveRefusal(usize, RefusalReason),
 }
 
-struct LoadReplay {
+struct LoadSimulation {
     pattern: LoadPattern,
     rng: StdRng,
     clock: Arc<ManualClock>,
@@ -114,29 +119,30 @@
     targets: Vec<TargetEntry>,
     gates: Vec<SlotGate>,
     loads: Vec<ServiceLoad>,
-    calls: Vec<ReplayCall>,
+    calls: Vec<SimulatedCall>,
     waiting: Vec<(usize, SlotFuture)>,
     steps: Vec<Option<Step>>,
     due: BinaryHeap<Reverse<(Instant, usize)>>,
-    result: ReplayResult,
+    result: SimulationResult,
 }
 
 const SLOTS: u16 = 6;
 
-impl LoadReplay {
+impl LoadSimulation {
     fn new(pattern: LoadPattern) -> Self {
         let clock = ManualClock::new();
         let start = clock.now();
         let mut targets = Vec::new();
-        for zone in 0..pattern.zones {
+        for data_centre in 0..pattern.data_centres {
             for _ in &pattern.speeds {
-                let address = NodeAddress::from(([10, 0, zone as u8, targets.len() as u8], 1));
+                let address =
+                    NodeAddress::from(([10, 0, data_centre as u8, targets.len() as u8], 1));
                 targets.push(TargetEntry {
                     node: address,
                     hop: address,
                     incarnation: Incarnation(1),
-                    region: format!("r{zone}").parse().expect("a name"),
-                    data_centre: format!("r{zone}-a").parse().expect("a name"),
+                    region: format!("r{data_centre}").parse().expect("valid name"),
+                    data_centre: format!("r{data_centre}-a").parse().expect("valid name"),
                     slots: SLOTS,
                     link: LinkRate::default(),
                     serving_since: start,
@@ -151,7 +157,10 @@
                 .iter()
                 .map(|_| SlotGate::new(SLOTS, Arc::clone(&shared)))
                 .collect(),
-            loads: vec![ServiceLoad::default(); pattern.zones * pattern.ingresses_a_zone],
+            loads: vec![
+                ServiceLoad::default();
+                pattern.data_centres * pattern.ingresses_per_data_centre
+            ],
             clock,
             start,
             targets,
@@ -159,34 +168,34 @@
             waiting: Vec::new(),
             steps: Vec::new(),
             due: BinaryHeap::new(),
-            result: ReplayResult::default(),
+            result: SimulationResult::default(),
             pattern,
         }
     }
 
-    fn run(mut self) -> ReplayResult {
-        self.later(Duration::ZERO, Step::Arrive);
+    fn run(mut self) -> SimulationResult {
+        self.schedule(Duration::ZERO, Step::Arrive);
         while let Some(Reverse((when, step))) = self.due.pop() {
             self.clock.advance(when - self.clock.now());
             if let Some(step) = self.steps[step].take() {
-                self.take(step);
+                self.execute(step);
             }
             self.poll_waiting();
         }
         self.result
     }
 
-    fn later(&mut self, wait: Duration, step: Step) {
+    fn schedule(&mut self, wait: Duration, step: Step) {
         self.due
             .push(Reverse((self.clock.now() + wait, self.steps.len())));
         self.steps.push(Some(step));
     }
 
-    fn take(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
-            Step::Arrive => self.arrive(),
-            Step::Reach(call) => self.reach(call),
-            Step::End(call, permit, run) => {
+            Step::Arrive => self.add_arrival(),
+            Step::ReachGate(call) => self.reach_gate(call),
+            Step::FinishRun(call, permit, run) => {
                 drop(permit);
                 let target = self.calls[call].target;
                 let load = self.gates[target].load();
@@ -195,71 +204,72 @@
                 let node = self.targets[target].node;
                 seen.record_load(node, (load.busy + load.waiting) as u32, now);
                 seen.record_run_time(node, &route(), run, now);
-                self.later(self.trip(call), Step::Answer(call));
+                self.schedule(self.trip(call), Step::ReceiveAnswer(call));
             }
-            Step::Answer(call) => self.answer(call),
-            Step::Refused(call, reason) => self.refused(call, reason),
+            Step::ReceiveAnswer(call) => self.receive_answer(call),
+            Step::ReceiveRefusal(call, reason) => self.receive_refusal(call, reason),
         }
     }
 
-    fn arrive(&mut self) {
+    fn add_arrival(&mut self) {
         let now = self.clock.now();
         if now - self.start >= Duration::from_secs(self.pattern.seconds) {
             return;
         }
-        let speed: f64 = self.pattern.speeds.iter().sum();
-        let capacity =
-            speed * self.pattern.zones as f64 * f64::from(SLOTS) / self.pattern.work.as_secs_f64();
+        let total_speed: f64 = self.pattern.speeds.iter().sum();
+        let capacity = total_speed * self.pattern.data_centres as f64 * f64::from(SLOTS)
+            / self.pattern.work.as_secs_f64();
         let gap = -(1.0 - self.rng.random::<f64>()).ln() / (capacity * self.pattern.load);
-        self.later(Duration::from_secs_f64(gap), Step::Arrive);
+        self.schedule(Duration::from_secs_f64(gap), Step::Arrive);
         let ingress = self.rng.random_range(0..self.loads.len());
         self.result.calls += 1;
-        self.calls.push(ReplayCall {
+        self.calls.push(SimulatedCall {
             ingress,
-            came: now,
+            arrived_at: now,
             tried: Vec::new(),
             crowded: Vec::new(),
             target: 0,
             patience: Duration::MAX,
         });
-        self.place(self.calls.len() - 1);
+        self.choose_target(self.calls.len() - 1);
     }
 
-    /// Places a call as an ingress does.
-    fn place(&mut self, call: usize) {
-        let held = &self.calls[call];
-        let may_go_on = !held.crowded.is_empty() && held.crowded.len() < CROWDED_LIMIT;
-        let excluded = if may_go_on {
-            [held.tried.clone(), held.crowded.clone()].concat()
+    /// Chooses a target for a call, as an ingress does.
+    fn choose_target(&mut self, call: usize) {
+        let simulated = &self.calls[call];
+        let may_go_elsewhere =
+            !simulated.crowded.is_empty() && simulated.crowded.len() < MAX_CROWDED_REFUSALS;
+        let excluded = if may_go_elsewhere {
+            [simulated.tried.clone(), simulated.crowded.clone()].concat()
         } else {
-            held.tried.clone()
+            simulated.tried.clone()
         };
-        let is_settled = !held.crowded.is_empty() && !may_go_on;
-        let (ingress, came) = (held.ingress, held.came);
-        let zone = ingress / self.pattern.ingresses_a_zone;
-        let place = NodeLocation {
-            region: format!("r{zone}").parse().expect("a name"),
-            data_centre: format!("r{zone}-a").parse().expect("a name"),
+        let must_wait = !simulated.crowded.is_empty() && !may_go_elsewhere;
+        let (ingress, arrived_at) = (simulated.ingress, simulated.arrived_at);
+        let data_centre = ingress / self.pattern.ingresses_per_data_centre;
+        let location = NodeLocation {
+            region: format!("r{data_centre}").parse().expect("valid name"),
+            data_centre: format!("r{data_centre}-a").parse().expect("valid name"),
         };
         let now = self.clock.now();
         let demand = CallRequirements {
-            aim: (came + self.pattern.aim).saturating_duration_since(now),
-            deadline: (came + self.pattern.deadline).saturating_duration_since(now),
+            aim: (arrived_at + self.pattern.aim).saturating_duration_since(now),
+            deadline: (arrived_at + self.pattern.deadline).saturating_duration_since(now),
             answer_bytes: 1_500.0,
             run: self.pattern.work,
         };
-        let policy = PolicySpec::default_for("portal".parse().expect("a name"));
-        let placed = PlacementRequest {
+        let policy = PolicySpec::default_for("portal".parse().expect("valid name"));
+        let request = PlacementRequest {
             route: &route(),
             demand: &demand,
             tried: &excluded,
         };
         let choice = choose_cheapest_target(
-            &place,
+            &location,
             &self.targets,
             &policy,
             &mut self.loads[ingress],
-            placed,
+            request,
             now,
             &mut self.rng,
         );
@@ -268,21 +278,21 @@
             return;
         };
         self.loads[ingress].start_attempt(&self.targets[target]);
-        let held = &mut self.calls[call];
-        held.target = target;
-        held.patience = if self.pattern.is_sent_on && !is_settled {
+        let simulated = &mut self.calls[call];
+        simulated.target = target;
+        simulated.patience = if self.pattern.has_patience && !must_wait {
             choice.patience
         } else {
             Duration::MAX
         };
-        self.later(self.trip(call), Step::Reach(call));
+        self.schedule(self.trip(call), Step::ReachGate(call));
     }
 
-    /// One way to the target of a call.
+    /// Returns the one-way trip time to the target of a call.
     fn trip(&self, call: usize) -> Duration {
-        let held = &self.calls[call];
-        let from = held.ingress / self.pattern.ingresses_a_zone;
-        let to = held.target / self.pattern.speeds.len();
+        let simulated = &self.calls[call];
+        let from = simulated.ingress / self.pattern.ingresses_per_data_centre;
+        let to = simulated.target / self.pattern.speeds.len();
         if from == to {
             Duration::from_micros(250)
         } else {
@@ -290,36 +300,37 @@
         }
     }
 
-    fn reach(&mut self, call: usize) {
-        let held = &self.calls[call];
+    fn reach_gate(&mut self, call: usize) {
+        let simulated = &self.calls[call];
         let demand = SlotRequest {
             rank: QueueRank::new(CallClass::Interactive, CallPriority(0)),
-            aim: held.came + self.pattern.aim,
-            deadline: held.came + self.pattern.deadline,
+            aim: simulated.arrived_at + self.pattern.aim,
+            deadline: simulated.arrived_at + self.pattern.deadline,
             expected_run: self.pattern.work,
-            patience: held.patience,
+            patience: simulated.patience,
         };
-        let gate = self.gates[held.target].clone();
+        let gate = self.gates[simulated.target].clone();
         let slot = Box::pin(async move { gate.acquire_for(demand).await });
         self.waiting.push((call, slot));
     }
 
-    /// Starts the calls that got a slot, and sends back those that were refused.
+    /// Starts the calls that got a slot, and schedules the return of those that
+    /// were refused.
     fn poll_waiting(&mut self) {
         let mut context = Context::from_waker(Waker::noop());
         let mut index = 0;
         while index < self.waiting.len() {
             let (call, slot) = &mut self.waiting[index];
             let call = *call;
-            let Poll::Ready(ended) = slot.as_mut().poll(&mut context) else {
+            let Poll::Ready(outcome) = slot.as_mut().poll(&mut context) else {
                 index += 1;
                 continue;
             };
             drop(self.waiting.swap_remove(index));
-            match ended {
+            match outcome {
                 Ok(permit) => {
                     let run = self.run_time(call);
-                    self.later(run, Step::End(call, permit, run));
+                    self.schedule(run, Step::FinishRun(call, permit, run));
                 }
                 Err(reason) => {
                     let target = self.calls[call].target;
@@ -328,7 +339,7 @@
                     let now = self.clock.now();
                     let node = self.targets[target].node;
                     self.loads[self.calls[call].ingress].record_load(node, busy, now);
-                    self.later(self.trip(call), Step::Refused(call, reason));
+                    self.schedule(self.trip(call), Step::ReceiveRefusal(call, reason));
                 }
             }
         }
@@ -341,79 +352,85 @@
         self.pattern.work.mul_f64(spread / speed)
     }
 
-    fn leave(&mut self, call: usize) {
-        let held = &self.calls[call];
-        self.loads[held.ingress].finish_attempt(self.targets[held.target].node);
+    fn finish_attempt(&mut self, call: usize) {
+        let simulated = &self.calls[call];
+        self.loads[simulated.ingress].finish_attempt(self.targets[simulated.target].node);
     }
 
-    fn answer(&mut self, call: usize) {
-        self.leave(call);
-        let held = &self.calls[call];
-        let policy = PolicySpec::default_for("portal".parse().expect("a name"));
+    fn receive_answer(&mut self, call: usize) {
+        self.finish_attempt(call);
+        let simulated = &self.calls[call];
+        let policy = PolicySpec::default_for("portal".parse().expect("valid name"));
         let now = self.clock.now();
-        let took = now - held.came;
-        let target = self.targets[held.target].clone();
-        self.loads[held.ingress].record_result(
+        let elapsed = now - simulated.arrived_at;
+        let target = self.targets[simulated.target].clone();
+        self.loads[simulated.ingress].record_result(
             &target,
             AttemptResult::Answered,
-            took,
+            elapsed,
             &policy,
             self.targets.len(),
             now,
         );
-        if took <= self.pattern.aim {
+        if elapsed <= self.pattern.aim {
             self.result.in_time += 1;
-        } else if took <= self.pattern.deadline {
+        } else if elapsed <= self.pattern.deadline {
             self.result.late += 1;
         }
     }
 
-    fn refused(&mut self, call: usize, reason: RefusalReason) {
-        self.leave(call);
-        let held = &mut self.calls[call];
-        let node = self.targets[held.target].node;
+    fn receive_refusal(&mut self, call: usize, reason: RefusalReason) {
+        self.finish_attempt(call);
+        let simulated = &mut self.calls[call];
+        let node = self.targets[simulated.target].node;
         match reason {
-            RefusalReason::Crowded => held.crowded.push(node),
-            _ => held.tried.push(node),
+            RefusalReason::Crowded => simulated.crowded.push(node),
+            _ => simulated.tried.push(node),
         }
-        let is_over = self.clock.now() >= held.came + self.pattern.deadline;
-        if is_over || held.tried.len() >= REFUSAL_LIMIT || reason == RefusalReason::Deadline {
+        let is_past_deadline = self.clock.now() >= simulated.arrived_at + self.pattern.deadline;
+        if is_past_deadline
+            || simulated.tried.len() >= MAX_REFUSALS
+            || reason == RefusalReason::Deadline
+        {
             self.result.refused += 1;
             return;
         }
-        self.place(call);
+        self.choose_target(call);
     }
 }
 
 fn route() -> RouteName {
-    "pages".parse().expect("a name")
+    "pages".parse().expect("valid name")
 }
 
-fn mean_worth(load: f64, is_sent_on: bool) -> f64 {
+fn mean_value_over_seeds(load: f64, has_patience: bool) -> f64 {
     let seeds = 1..=3;
     let count = seeds.clone().count() as f64;
-    let worths = seeds.map(|seed| {
+    let values = seeds.map(|seed| {
         let pattern = LoadPattern {
-            is_sent_on,
+            has_patience,
             ..LoadPattern::many_ingresses(seed, load)
         };
-        let result = LoadReplay::new(pattern).run();
+        let result = LoadSimulation::new(pattern).run();
         println!(
-            "load {load}, sent on {is_sent_on}: {result:?} {:.3}",
-            result.worth()
+            "load {load}, with patience {has_patience}: {result:?} {:.3}",
+            result.mean_value()
         );
-        result.worth()
+        result.mean_value()
     });
-    worths.sum::<f64>() / count
+    values.sum::<f64>() / count
 }
 
 #[yare::parameterized(
-    usual = { 0.75 },
-    full = { 0.95 },
-    over = { 1.2 },
+    usual_load = { 0.75 },
+    full_load = { 0.95 },
+    overload = { 1.2 },
 )]
-fn sending_calls_on_serves_more_where_many_nodes_know_little(load: f64) {
-    let (with, without) = (mean_worth(load, true), mean_worth(load, false));
+fn a_limited_wait_serves_more_when_each_ingress_knows_little(load: f64) {
+    let (with, without) = (
+        mean_value_over_seeds(load, true),
+        mean_value_over_seeds(load, false),
+    );
     println!("load {load}: {without:.3} -> {with:.3}");
     assert!(with > without, "{without:.3} -> {with:.3}");
 }
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -1,5 +1,5 @@
-//! How calls wait, are turned away and placed: the decisions under the load
-//! patterns that their modules name, with a clock that the test moves.
+//! Tests of queueing, load shedding and target selection under the load
+//! patterns that the modules are made for, with a manual clock.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,7 +21,8 @@
     Duration::from_millis(millis)
 }
 
-/// A gate with one slot that is taken by a call of 100 ms on average.
+/// Returns a gate with one slot that is held by a call, with its clock and the
+/// permit. The gate has measured a mean run time of 100 ms.
 async fn busy_gate() -> (
     SlotGate,
     Arc<ManualClock>,
@@ -33,8 +34,8 @@
     let first = gate.acquire(CallClass::Interactive, until).await;
     clock.advance(ms(100));
     drop(first.expect("a free slot"));
-    let held = gate.acquire(CallClass::Interactive, until).await;
-    (gate, clock, held.expect("a free slot"))
+    let permit = gate.acquire(CallClass::Interactive, until).await;
+    (gate, clock, permit.expect("a free slot"))
 }
 
 fn demand(clock: &ManualClock, priority: u8, aim: u64, deadline: u64) -> SlotRequest {
@@ -47,7 +48,7 @@
     }
 }
 
-async fn wait_in(
+async fn enqueue(
     gate: &SlotGate,
     demand: SlotRequest,
 ) -> tokio::task::JoinHandle<Option<RefusalReason>> {
@@ -55,7 +56,8 @@
     let other = gate.clone();
     let task = tokio::spawn(async move {
         match other.acquire_for(demand).await {
-            // The permit is kept, so that the next call does not get the slot.
+            // The permit is never released, so that the next call does not get
+            // the slot.
             Ok(permit) => {
                 std::mem::forget(permit);
                 None
@@ -70,75 +72,86 @@
 }
 
 #[tokio::test]
-async fn calls_that_can_be_in_time_go_before_late_ones() {
-    let (gate, clock, held) = busy_gate().await;
-    // In time it would have to start within 20 ms, and a slot is 100 ms away.
+async fn calls_that_can_be_in_time_start_before_late_ones() {
+    let (gate, clock, permit) = busy_gate().await;
+    // To be in time, it would have to start within 20 ms, but the slot is
+    // expected to become free in 100 ms.
     let mut late = demand(&clock, 0, 120, 5_000);
-    let late_task = wait_in(&gate, late).await;
-    let timely = wait_in(&gate, demand(&clock, 5, 900, 5_000)).await;
+    let late_task = enqueue(&gate, late).await;
+    let timely = enqueue(&gate, demand(&clock, 5, 900, 5_000)).await;
     clock.advance(ms(100));
-    drop(held);
-    assert_eq!(timely.await.expect("no panic"), None, "in time, lower rank");
-    assert!(!late_task.is_finished(), "the late one waits on");
-    // A second late one finds no room: most late calls are refused in the end.
+    drop(permit);
+    assert_eq!(
+        timely.await.expect("no panic"),
+        None,
+        "in time, despite its lower priority"
+    );
+    assert!(!late_task.is_finished(), "the late call keeps waiting");
+    // A second late call is refused: only one late call may wait per slot.
     late.aim = clock.now();
     let second = gate.acquire_for(late).await;
     assert_eq!(second.err(), Some(RefusalReason::Saturated));
 }
 
 #[tokio::test]
-async fn a_call_that_cannot_end_any_more_is_refused_when_a_slot_frees() {
-    let (gate, clock, held) = busy_gate().await;
-    let hopeless = wait_in(&gate, demand(&clock, 0, 300, 300)).await;
-    let patient = wait_in(&gate, demand(&clock, 0, 5_000, 5_000)).await;
-    // The running call takes far longer than calls usually do.
+async fn a_call_that_would_miss_its_deadline_is_refused_when_a_slot_becomes_free() {
+    let (gate, clock, permit) = busy_gate().await;
+    let infeasible = enqueue(&gate, demand(&clock, 0, 300, 300)).await;
+    let patient = enqueue(&gate, demand(&clock, 0, 5_000, 5_000)).await;
+    // The running call takes much longer than the mean run time.
     clock.advance(ms(280));
-    drop(held);
+    drop(permit);
     assert_eq!(
-        hopeless.await.expect("no panic"),
+        infeasible.await.expect("no panic"),
         Some(RefusalReason::Deadline)
     );
     assert_eq!(patient.await.expect("no panic"), None);
 }
 
 #[tokio::test]
-async fn calls_that_became_late_while_they_waited_are_refused_at_once() {
-    let (gate, clock, held) = busy_gate().await;
-    // All three may still be in time, one after the other.
+async fn calls_that_became_late_in_the_queue_are_refused_immediately() {
+    let (gate, clock, permit) = busy_gate().await;
+    // All three calls can still be in time, one after the other.
     let mut waiting = Vec::new();
     for aim in [450, 550, 650] {
-        waiting.push(wait_in(&gate, demand(&clock, 0, aim, 10_000)).await);
+        waiting.push(enqueue(&gate, demand(&clock, 0, aim, 10_000)).await);
     }
-    // The running call takes far longer than usual: now all of them are late,
-    // and one late call may wait at one slot.
+    // The running call takes much longer than the mean run time. Now all three
+    // calls are late, and only one late call may wait per slot.
     clock.advance(ms(600));
-    drop(held);
-    let mut ended = Vec::new();
+    drop(permit);
+    let mut outcomes = Vec::new();
     for task in waiting {
-        ended.push(task.await.expect("no panic"));
+        outcomes.push(task.await.expect("no panic"));
     }
     let saturated = Some(RefusalReason::Saturated);
-    assert_eq!(ended, [saturated, saturated, None], "the last one runs");
+    assert_eq!(
+        outcomes,
+        [saturated, saturated, None],
+        "the last one takes the slot"
+    );
 }
 
 #[tokio::test]
-async fn a_call_in_time_only_if_its_run_is_short_counts_as_late() {
-    // A slot is 100 ms away and runs take 100 ms, most of them up to 130 ms.
+async fn a_call_that_is_in_time_only_if_its_run_is_short_counts_as_late() {
+    // The slot is expected to become free in 100 ms, and runs take 100 ms, most
+    // of them up to 130 ms.
     for (aim, is_likely) in [(230, true), (229, false)] {
         let (gate, clock, _held) = busy_gate().await;
-        // It has waited too long already, so there is no room for late calls.
+        // This call is already late, so there is no room for further late
+        // calls.
         let other = demand(&clock, 9, 0, 10_000);
-        let _late = wait_in(&gate, other).await;
-        let call = wait_in(&gate, demand(&clock, 0, aim, 10_000)).await;
+        let _late = enqueue(&gate, other).await;
+        let call = enqueue(&gate, demand(&clock, 0, aim, 10_000)).await;
         assert_eq!(!call.is_finished(), is_likely, "{aim} ms");
     }
 }
 
 #[tokio::test]
-async fn a_free_slot_is_never_refused_and_room_is_told() {
-    let (gate, clock, held) = busy_gate().await;
+async fn a_free_slot_is_never_refused_and_the_expected_wait_is_reported() {
+    let (gate, clock, permit) = busy_gate().await;
     assert_eq!(gate.load().expected_wait(), ms(100));
-    drop(held);
+    drop(permit);
     assert_eq!(gate.load().expected_wait(), Duration::ZERO);
     let late = demand(&clock, 9, 1, 1_000);
     assert!(
@@ -148,7 +161,7 @@
 }
 
 #[test]
-fn all_nodes_together_stay_within_the_shared_limit() {
+fn all_nodes_together_stay_within_the_shared_retry_limit() {
     let limit = RetryLimit {
         ratio: 0.2,
         slack: 60.0,
@@ -159,25 +172,25 @@
         let budgets: Vec<RetryBudget> = (0..nodes)
             .map(|_| RetryBudget::shared(Arc::clone(&clock) as SharedClock, limit, nodes))
             .collect();
-        let mut spent = 0_u32;
+        let mut retries = 0_u32;
         // One window in which every call fails and would be retried twice.
         for _ in 0..100 {
             for budget in &budgets {
                 for _ in 0..calls_each.div_ceil(100) {
                     budget.record_call(wisteriaturn::ids::Percent(0));
-                    spent += u32::from(budget.try_take()) + u32::from(budget.try_take());
+                    retries += u32::from(budget.try_take()) + u32::from(budget.try_take());
                 }
-                spent += u32::from(budget.try_take());
+                retries += u32::from(budget.try_take());
             }
             clock.advance(Duration::from_millis(100));
         }
         let calls = calls_each.div_ceil(100) * 100 * nodes as u32;
-        // Each node keeps two retries at least, also in a large mesh.
+        // Each node keeps at least two retries, even in a large mesh.
         let slack = limit.slack.max(2.0 * nodes as f64 + limit.slack * 0.5);
         let allowed = limit.ratio * f64::from(calls) + slack;
         assert!(
-            f64::from(spent) <= allowed,
-            "{nodes} nodes, {calls} calls: {spent}"
+            f64::from(retries) <= allowed,
+            "{nodes} nodes, {calls} calls: {retries}"
         );
     }
 }
@@ -191,8 +204,8 @@
         node: address(host),
         hop: address(host),
         incarnation: Incarnation(1),
-        region: region.parse().expect("a name"),
-        data_centre: data_centre.parse().expect("a name"),
+        region: region.parse().expect("valid name"),
+        data_centre: data_centre.parse().expect("valid name"),
         slots: 6,
         link: LinkRate::default(),
         serving_since,
@@ -200,15 +213,16 @@
     }
 }
 
-struct Placement {
+struct SelectionFixture {
     targets: Vec<TargetEntry>,
     load: ServiceLoad,
     now: Instant,
     rng: StdRng,
 }
 
-impl Placement {
-    /// One target near, one in the region, one beyond; all warm.
+impl SelectionFixture {
+    /// Creates one target in the own data centre, one in the region and one in
+    /// another region, all beyond their slow start.
     fn new() -> Self {
         let since = Instant::now();
         Self {
@@ -223,14 +237,14 @@
         }
     }
 
-    fn fill(&mut self, host: u8, calls: u32) {
+    fn start_calls(&mut self, host: u8, calls: u32) {
         for _ in 0..calls {
             let target = self.targets[usize::from(host) - 1].clone();
             self.load.start_attempt(&target);
         }
     }
 
-    fn note(&mut self, host: u8, result: AttemptResult, times: u32) {
+    fn record_results(&mut self, host: u8, result: AttemptResult, times: u32) {
         let target = self.targets[usize::from(host) - 1].clone();
         let policy = policy();
         for _ in 0..times {
@@ -240,23 +254,23 @@
     }
 
     fn choose(&mut self, bytes: f64, aim: u64) -> Option<usize> {
-        self.place(bytes, aim).chosen
+        self.select(bytes, aim).chosen
     }
 
     fn patience(&mut self, bytes: f64, aim: u64) -> Duration {
-        self.place(bytes, aim).patience
+        self.select(bytes, aim).patience
     }
 
-    fn place(&mut self, bytes: f64, aim: u64) -> TargetChoice {
+    fn select(&mut self, bytes: f64, aim: u64) -> TargetChoice {
         let demand = CallRequirements {
             aim: ms(aim),
             deadline: ms(aim * 4),
             answer_bytes: bytes,
             run: ms(160),
         };
-        let place = NodeLocation {
-            region: "r1".parse().expect("a name"),
-            data_centre: "r1-a".parse().expect("a name"),
+        let location = NodeLocation {
+            region: "r1".parse().expect("valid name"),
+            data_centre: "r1-a".parse().expect("valid name"),
         };
         let route = route();
         let call = PlacementRequest {
@@ -266,7 +280,7 @@
         };
         let policy = policy();
         choose_cheapest_target(
-            &place,
+            &location,
             &self.targets,
             &policy,
             &mut self.load,
@@ -278,89 +292,97 @@
 }
 
 fn route() -> RouteName {
-    "pages".parse().expect("a name")
+    "pages".parse().expect("valid name")
 }
 
 fn policy() -> PolicySpec {
-    PolicySpec::default_for("portal".parse().expect("a name"))
+    PolicySpec::default_for("portal".parse().expect("valid name"))
 }
 
 #[test]
-fn calls_stay_near_while_they_are_in_time_there() {
-    let mut placement = Placement::new();
-    assert_eq!(placement.choose(1_500.0, 500), Some(0));
-    placement.fill(1, 2);
+fn calls_stay_local_while_they_are_in_time_there() {
+    let mut fixture = SelectionFixture::new();
+    assert_eq!(fixture.choose(1_500.0, 500), Some(0));
+    fixture.start_calls(1, 2);
     for _ in 0..50 {
-        let chosen = placement.choose(1_500.0, 500);
-        assert_eq!(chosen, Some(0), "half of it is free");
+        let chosen = fixture.choose(1_500.0, 500);
+        assert_eq!(chosen, Some(0), "half of its slots are free");
     }
-    // The last slots are kept for what other nodes send in the same moment.
-    placement.fill(1, 3);
-    assert_eq!(placement.choose(1_500.0, 500), Some(1), "one slot is free");
-    assert_eq!(placement.choose(90_000.0, 500), Some(0), "an archive stays");
-    placement.fill(1, 12);
+    // The last slots are reserved for calls that other nodes send at the same
+    // moment.
+    fixture.start_calls(1, 3);
+    assert_eq!(fixture.choose(1_500.0, 500), Some(1), "one slot is free");
+    assert_eq!(
+        fixture.choose(90_000.0, 500),
+        Some(0),
+        "a large answer stays local"
+    );
+    fixture.start_calls(1, 12);
     assert_eq!(
-        placement.choose(1_500.0, 500),
+        fixture.choose(1_500.0, 500),
         Some(1),
-        "the near one is late"
+        "the local target would be late"
     );
-    placement.fill(2, 17);
+    fixture.start_calls(2, 17);
     assert_eq!(
-        placement.choose(1_500.0, 500),
+        fixture.choose(1_500.0, 500),
         Some(2),
-        "the region is late"
+        "the targets of the region would be late"
     );
 }
 
 #[tokio::test]
-async fn a_call_is_sent_on_when_the_wait_is_longer_than_it_wants() {
-    let (gate, clock, held) = busy_gate().await;
+async fn a_call_is_refused_as_crowded_when_the_wait_exceeds_its_patience() {
+    let (gate, clock, permit) = busy_gate().await;
     let patient = |patience: u64| SlotRequest {
         patience: ms(patience),
         ..demand(&clock, 0, 5_000, 10_000)
     };
-    // A run of 100 ms is ahead of it.
-    let sent_on = wait_in(&gate, patient(99)).await;
+    // The expected wait is one run of 100 ms.
+    let refused = enqueue(&gate, patient(99)).await;
     assert_eq!(
-        sent_on.await.expect("no panic"),
+        refused.await.expect("no panic"),
         Some(RefusalReason::Crowded)
     );
-    let waits = wait_in(&gate, patient(100)).await;
-    let sent_on = wait_in(&gate, patient(100)).await;
+    let waits = enqueue(&gate, patient(100)).await;
+    let refused = enqueue(&gate, patient(100)).await;
     assert_eq!(
-        sent_on.await.expect("no panic"),
+        refused.await.expect("no panic"),
         Some(RefusalReason::Crowded)
     );
-    drop(held);
-    assert_eq!(waits.await.expect("no panic"), None, "it runs");
+    drop(permit);
+    assert_eq!(waits.await.expect("no panic"), None, "it gets the slot");
 }
 
 #[test]
-fn a_call_waits_longer_where_others_are_further_or_fuller() {
-    let mut placement = Placement::new();
-    let near = placement.patience(1_500.0, 500);
+fn patience_grows_when_other_targets_are_farther_away_or_fuller() {
+    let mut fixture = SelectionFixture::new();
+    let near = fixture.patience(1_500.0, 500);
     assert!(near < ms(100), "a free target is in the region: {near:?}");
-    let archive = placement.patience(90_000.0, 500);
-    assert!(archive > ms(300), "an archive stays near: {archive:?}");
-    placement.fill(2, 17);
-    placement.fill(3, 17);
-    let alone = placement.patience(1_500.0, 500);
-    assert!(alone > near, "the others are full: {alone:?}");
-    placement.targets.truncate(1);
-    assert_eq!(placement.patience(1_500.0, 500), Duration::MAX);
+    let large = fixture.patience(90_000.0, 500);
+    assert!(large > ms(300), "a large answer stays local: {large:?}");
+    fixture.start_calls(2, 17);
+    fixture.start_calls(3, 17);
+    let with_full_others = fixture.patience(1_500.0, 500);
+    assert!(
+        with_full_others > near,
+        "the others are full: {with_full_others:?}"
+    );
+    fixture.targets.truncate(1);
+    assert_eq!(fixture.patience(1_500.0, 500), Duration::MAX);
 }
 
 #[test]
-fn large_answers_leave_thin_links_alone() {
-    let mut placement = Placement::new();
-    let since = placement.targets[0].serving_since;
-    placement.targets.push(target(4, "r1", "r1-a", since));
-    placement.targets[0].link = LinkRate(7_000);
-    placement.targets[3].link = LinkRate(140_000);
-    placement.fill(4, 2);
+fn large_answers_avoid_slow_links() {
+    let mut fixture = SelectionFixture::new();
+    let since = fixture.targets[0].serving_since;
+    fixture.targets.push(target(4, "r1", "r1-a", since));
+    fixture.targets[0].link = LinkRate(7_000);
+    fixture.targets[3].link = LinkRate(140_000);
+    fixture.start_calls(4, 2);
     for _ in 0..20 {
         assert_eq!(
-            placement.choose(90_000.0, 300),
+            fixture.choose(90_000.0, 300),
             Some(3),
             "100 ms on a thin link"
         );
@@ -368,61 +390,64 @@
 }
 
 #[test]
-fn large_answers_cross_no_billed_link_for_a_little_time() {
-    let mut placement = Placement::new();
-    placement.fill(1, 17);
-    placement.fill(2, 17);
-    assert_eq!(placement.choose(1_500.0, 500), Some(2), "a small page may");
-    let archive = placement.choose(90_000.0, 500);
-    assert_eq!(archive, Some(0), "an archive costs more than its lateness");
+fn large_answers_do_not_cross_billed_links_to_save_a_little_time() {
+    let mut fixture = SelectionFixture::new();
+    fixture.start_calls(1, 17);
+    fixture.start_calls(2, 17);
+    assert_eq!(
+        fixture.choose(1_500.0, 500),
+        Some(2),
+        "a small answer may cross"
+    );
+    let large = fixture.choose(90_000.0, 500);
+    assert_eq!(large, Some(0), "the transfer costs more than the lateness");
 }
 
 #[test]
-fn a_target_that_fails_or_cannot_be_reached_is_passed_over_for_a_time() {
-    let mut placement = Placement::new();
-    placement.note(1, AttemptResult::Faulty, 3);
-    assert_eq!(placement.choose(1_500.0, 500), Some(1));
-    placement.now += Duration::from_secs(20);
-    assert_eq!(placement.choose(1_500.0, 500), Some(0), "it is tried again");
-    placement.note(1, AttemptResult::Unreachable(Duration::from_secs(1)), 1);
-    assert_ne!(placement.choose(1_500.0, 500), Some(0));
-    placement.now += Duration::from_secs(20);
-    assert_eq!(placement.choose(1_500.0, 500), Some(0));
+fn a_failing_or_unreachable_target_is_avoided_temporarily() {
+    let mut fixture = SelectionFixture::new();
+    fixture.record_results(1, AttemptResult::Faulty, 3);
+    assert_eq!(fixture.choose(1_500.0, 500), Some(1));
+    fixture.now += Duration::from_secs(20);
+    assert_eq!(fixture.choose(1_500.0, 500), Some(0), "it is tried again");
+    fixture.record_results(1, AttemptResult::Unreachable(Duration::from_secs(1)), 1);
+    assert_ne!(fixture.choose(1_500.0, 500), Some(0));
+    fixture.now += Duration::from_secs(20);
+    assert_eq!(fixture.choose(1_500.0, 500), Some(0));
 }
 
 #[test]
-fn a_slow_target_is_passed_over_until_its_report_is_old() {
-    let mut placement = Placement::new();
-    placement.fill(1, 1);
-    let now = placement.now;
+fn a_slow_target_is_avoided_until_its_report_expires() {
+    let mut fixture = SelectionFixture::new();
+    fixture.start_calls(1, 1);
+    let now = fixture.now;
     let slow = Duration::from_millis(900);
-    placement
+    fixture
         .load
         .record_run_time(address(1), &route(), slow, now);
-    assert_eq!(placement.choose(1_500.0, 500), Some(1));
-    // Short calls of another route at the same target say nothing about it.
-    let other: RouteName = "lookups".parse().expect("a name");
-    placement
-        .load
-        .record_run_time(address(1), &other, ms(5), now);
-    assert_eq!(placement.choose(1_500.0, 500), Some(1));
-    placement.now += Duration::from_secs(6);
-    assert_eq!(placement.choose(1_500.0, 500), Some(0), "it is tried again");
+    assert_eq!(fixture.choose(1_500.0, 500), Some(1));
+    // Short calls of another route at the same target say nothing about this
+    // route.
+    let other: RouteName = "lookups".parse().expect("valid name");
+    fixture.load.record_run_time(address(1), &other, ms(5), now);
+    assert_eq!(fixture.choose(1_500.0, 500), Some(1));
+    fixture.now += Duration::from_secs(6);
+    assert_eq!(fixture.choose(1_500.0, 500), Some(0), "it is tried again");
 }
 
 #[test]
-fn calls_spread_over_near_targets_before_one_is_full() {
-    let mut placement = Placement::new();
-    let since = placement.targets[0].serving_since;
-    placement.targets.push(target(4, "r1", "r1-a", since));
-    placement.fill(1, 4);
+fn calls_spread_over_local_targets_before_one_is_full() {
+    let mut fixture = SelectionFixture::new();
+    let since = fixture.targets[0].serving_since;
+    fixture.targets.push(target(4, "r1", "r1-a", since));
+    fixture.start_calls(1, 4);
     for _ in 0..20 {
-        assert_eq!(placement.choose(1_500.0, 500), Some(3), "the idle one");
+        assert_eq!(fixture.choose(1_500.0, 500), Some(3), "the idle target");
     }
 }
 
 #[test]
-fn looking_at_the_budget_takes_nothing_from_it() {
+fn checking_the_retry_budget_consumes_nothing() {
     let limit = RetryLimit {
         ratio: 0.2,
         slack: 10.0,
@@ -439,5 +464,5 @@
     assert!(taken >= 2);
     assert!(!budget.try_take());
     clock.advance(Duration::from_secs(60));
-    assert!(budget.has_retry(), "earned again");
+    assert!(budget.has_retry(), "the budget is refilled");
 }
--- a/tests/integration/member_table.rs
+++ b/tests/integration/member_table.rs
@@ -1,5 +1,6 @@
-//! Members: the order of rumors does not matter, a suspect can refute, and a
-//! cut link is not taken for a hundred dead nodes.
+//! Tests of membership: the order of rumors does not matter, a suspect can
+//! refute, and a cut link of the own node is not mistaken for the loss of many
+//! members.
 
 use std::time::{Duration, Instant};
 
@@ -22,8 +23,8 @@
         incarnation: Incarnation(incarnation),
         sequence: Sequence(sequence),
         state,
-        region: "r1".parse().expect("a name"),
-        data_centre: "r1-a".parse().expect("a name"),
+        region: "r1".parse().expect("valid name"),
+        data_centre: "r1-a".parse().expect("valid name"),
         hop: address(host),
         link: LinkRate::default(),
         is_ready: true,
@@ -52,7 +53,7 @@
         MemberState::Left,
     ]);
     (2..6_u8, 1..4_u64, 0..4_u64, state)
-        .prop_map(|(host, life, sequence, state)| record(host, life, sequence, state))
+        .prop_map(|(host, incarnation, sequence, state)| record(host, incarnation, sequence, state))
 }
 
 proptest! {
@@ -62,38 +63,38 @@
             .prop_flat_map(|records| (Just(records.clone()), Just(records).prop_shuffle())),
     ) {
         let now = Instant::now();
-        let mut one = table_of(2..=2, now);
-        let mut other = table_of(2..=2, now);
+        let mut first = table_of(2..=2, now);
+        let mut second = table_of(2..=2, now);
         for record in records {
-            one.merge(record, now);
+            first.merge(record, now);
         }
         for record in shuffled {
-            other.merge(record, now);
+            second.merge(record, now);
         }
-        prop_assert_eq!(one.digest(), other.digest());
-        let all = |table: &MemberTable| -> Vec<MemberRecord> {
+        prop_assert_eq!(first.digest(), second.digest());
+        let records_of = |table: &MemberTable| -> Vec<MemberRecord> {
             table.iter().map(|entry| entry.record.clone()).collect()
         };
-        prop_assert_eq!(all(&one), all(&other));
+        prop_assert_eq!(records_of(&first), records_of(&second));
     }
 
     #[test]
-    fn a_node_always_outranks_what_is_said_of_it(
-        life in 0..5_u64,
+    fn a_node_always_outranks_claims_about_itself(
+        incarnation in 0..5_u64,
         sequence in 0..9_u64,
     ) {
         let now = Instant::now();
         let mut table = MemberTable::new(record(1, 3, 4, MemberState::Alive), now);
-        let said = record(1, life, sequence, MemberState::Dead);
-        table.merge(said.clone(), now);
+        let claimed = record(1, incarnation, sequence, MemberState::Dead);
+        table.merge(claimed.clone(), now);
         let own = table.own();
         prop_assert_eq!(own.state, MemberState::Alive);
-        prop_assert!(own.rank() > said.rank());
+        prop_assert!(own.rank() > claimed.rank());
     }
 }
 
 #[test]
-fn a_suspect_refutes_and_a_silent_one_dies() {
+fn a_suspect_can_refute_and_a_silent_one_becomes_overdue() {
     let now = Instant::now();
     let mut table = table_of(2..=9, now);
     let suspect = table.set_state(address(2), MemberState::Suspect, now);
@@ -110,28 +111,35 @@
     );
 
     table.set_state(address(3), MemberState::Suspect, now);
-    let place = "r1-a".parse().expect("a name");
+    let data_centre = "r1-a".parse().expect("valid name");
     let timeout = Duration::from_secs(4);
-    assert!(table.overdue_suspects(&place, timeout, now).is_empty());
+    assert!(
+        table
+            .overdue_suspects(&data_centre, timeout, now)
+            .is_empty()
+    );
     let later = now + timeout;
-    assert_eq!(table.overdue_suspects(&place, timeout, later), [address(3)]);
+    assert_eq!(
+        table.overdue_suspects(&data_centre, timeout, later),
+        [address(3)]
+    );
 }
 
 #[test]
 fn many_suspects_look_like_a_cut_link() {
     let now = Instant::now();
     let mut table = table_of(2..=9, now);
-    let place = "r1-a".parse().expect("a name");
+    let data_centre = "r1-a".parse().expect("valid name");
     for host in 2..=6 {
         table.set_state(address(host), MemberState::Suspect, now);
-        assert!(!table.is_likely_cut_off(&place), "{host}");
+        assert!(!table.is_likely_cut_off(&data_centre), "{host}");
     }
     table.set_state(address(7), MemberState::Suspect, now);
-    assert!(table.is_likely_cut_off(&place));
+    assert!(table.is_likely_cut_off(&data_centre));
 }
 
 #[test]
-fn a_dead_member_is_remembered_for_a_time_and_its_version_for_longer() {
+fn a_tombstone_keeps_the_held_version_until_it_expires() {
     let now = Instant::now();
     let mut table = table_of(2..=4, now);
     let before = table_of(3..=4, now).digest();
@@ -156,7 +164,7 @@
 }
 
 #[test]
-fn every_member_is_probed_once_a_round() {
+fn every_member_is_probed_once_per_round() {
     let table = table_of(2..=20, Instant::now());
     let mut round = ProbeRound::new();
     let mut rng = rand::rng();
@@ -169,29 +177,29 @@
 }
 
 #[test]
-fn roles_move_from_a_suspect_and_need_no_agreement() {
+fn relays_exclude_a_suspect_and_every_stream_has_a_keeper() {
     let now = Instant::now();
     let mut table = table_of(2..=20, now);
-    let place = "r1-a".parse().expect("a name");
-    let chosen = relays(&table, &place);
-    assert_eq!(chosen.len(), 2);
-    let stream_keeper = keeper(&table, 0, Some(&place)).expect("a keeper");
-    let far = "elsewhere".parse().expect("a name");
-    assert!(keeper(&table, 0, Some(&far)).is_some());
-    let lost = chosen
+    let data_centre = "r1-a".parse().expect("valid name");
+    let chosen_relays = relays(&table, &data_centre);
+    assert_eq!(chosen_relays.len(), 2);
+    let stream_keeper = keeper(&table, 0, Some(&data_centre)).expect("a keeper");
+    let unknown_data_centre = "elsewhere".parse().expect("valid name");
+    assert!(keeper(&table, 0, Some(&unknown_data_centre)).is_some());
+    let suspected_relay = chosen_relays
         .iter()
         .find(|relay| **relay != address(1))
-        .expect("another");
-    table.set_state(*lost, MemberState::Suspect, now);
-    assert!(!relays(&table, &place).contains(lost));
+        .expect("a relay other than this node");
+    table.set_state(*suspected_relay, MemberState::Suspect, now);
+    assert!(!relays(&table, &data_centre).contains(suspected_relay));
     assert!(table.get(stream_keeper).is_some());
 }
 
 #[test]
-fn rumors_ride_along_a_bounded_number_of_times() {
+fn a_rumor_is_piggybacked_a_bounded_number_of_times() {
     let mut queue = RumorQueue::new();
     queue.push(Rumor::Member(alive(2)), 100);
-    // A newer record of the same member takes the place of the older one.
+    // A newer record of the same member replaces the older one.
     let newer = record(2, 1, 2, MemberState::Alive);
     queue.push(Rumor::Member(newer.clone()), 100);
     let mut sent = 0;
@@ -207,16 +215,19 @@
 
 #[yare::parameterized(
     just_heard = { 8, Duration::ZERO, false },
-    a_lost_probe = { 8, ISOLATION_TIMEOUT / 2, false },
+    one_lost_probe = { 8, ISOLATION_TIMEOUT / 2, false },
     cut_off = { 8, ISOLATION_TIMEOUT, true },
-    the_least_that_says_something = { MIN_OTHER_MEMBERS, ISOLATION_TIMEOUT, true },
-    a_mesh_of_three = { MIN_OTHER_MEMBERS - 1, ISOLATION_TIMEOUT * 10, false },
+    smallest_conclusive_mesh = { MIN_OTHER_MEMBERS, ISOLATION_TIMEOUT, true },
+    too_small_mesh = { MIN_OTHER_MEMBERS - 1, ISOLATION_TIMEOUT * 10, false },
 )]
-fn silence_of_many_is_the_own_link(others: usize, silence: Duration, is_isolated: bool) {
+fn silence_of_enough_members_means_isolation(others: usize, silence: Duration, is_isolated: bool) {
     let start = Instant::now();
-    let mut standing = LinkMonitor::new(start);
-    let heard = start + Duration::from_secs(5);
-    standing.record_contact(heard);
-    standing.record_contact(start);
-    assert_eq!(standing.is_isolated(others, heard + silence), is_isolated);
+    let mut monitor = LinkMonitor::new(start);
+    let last_contact = start + Duration::from_secs(5);
+    monitor.record_contact(last_contact);
+    monitor.record_contact(start);
+    assert_eq!(
+        monitor.is_isolated(others, last_contact + silence),
+        is_isolated
+    );
 }
--- a/tests/integration/route_rules.rs
+++ b/tests/integration/route_rules.rs
@@ -1,4 +1,5 @@
-//! The choice of a target, ejection, the retry budget and the route's bound.
+//! Tests of target selection, ejection, the retry budget, deadlines and the
+//! limit of calls per route.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,15 +21,15 @@
     NodeAddress::from(([127, 0, 0, host], 7083))
 }
 
-fn place() -> NodeLocation {
+fn location() -> NodeLocation {
     NodeLocation {
-        region: "r1".parse().expect("a name"),
-        data_centre: "r1-a".parse().expect("a name"),
+        region: "r1".parse().expect("valid name"),
+        data_centre: "r1-a".parse().expect("valid name"),
     }
 }
 
 fn policy() -> PolicySpec {
-    PolicySpec::default_for("portal".parse().expect("a name"))
+    PolicySpec::default_for("portal".parse().expect("valid name"))
 }
 
 fn target(host: u8, region: &str, data_centre: &str) -> TargetEntry {
@@ -36,8 +37,8 @@
         node: address(host),
         hop: address(host),
         incarnation: Incarnation(1),
-        region: region.parse().expect("a name"),
-        data_centre: data_centre.parse().expect("a name"),
+        region: region.parse().expect("valid name"),
+        data_centre: data_centre.parse().expect("valid name"),
         slots: 4,
         link: LinkRate::default(),
         serving_since: Instant::now(),
@@ -45,8 +46,9 @@
     }
 }
 
-/// Two targets near, one in the region, one beyond.
-fn spread() -> Vec<TargetEntry> {
+/// Two targets in the own data centre, one in another data centre of the region
+/// and one in another region.
+fn targets_at_all_distances() -> Vec<TargetEntry> {
     vec![
         target(1, "r1", "r1-a"),
         target(2, "r1", "r1-a"),
@@ -58,12 +60,12 @@
 fn choose(targets: &[TargetEntry], load: &mut ServiceLoad, tried: &[NodeAddress]) -> Option<usize> {
     let now = Instant::now();
     let mut rng = rand::rng();
-    choose_target(&place(), targets, &policy(), load, tried, now, &mut rng).chosen
+    choose_target(&location(), targets, &policy(), load, tried, now, &mut rng).chosen
 }
 
 #[test]
-fn near_targets_go_first_and_calls_spill_with_hysteresis() {
-    let targets = spread();
+fn near_targets_are_preferred_and_calls_spill_over_with_hysteresis() {
+    let targets = targets_at_all_distances();
     let mut load = ServiceLoad::default();
     for _ in 0..50 {
         assert!(choose(&targets, &mut load, &[]) < Some(2));
@@ -76,7 +78,7 @@
         choose(&targets, &mut load, &[]).map(|_| load.max_distance),
         Some(1)
     );
-    // A little room does not bring the calls back at once.
+    // A single free slot does not bring the calls back immediately.
     load.finish_attempt(address(1));
     choose(&targets, &mut load, &[]);
     assert_eq!(load.max_distance, 1);
@@ -88,7 +90,7 @@
 }
 
 #[test]
-fn without_near_targets_calls_go_further_at_once() {
+fn without_near_targets_calls_go_to_distant_ones_immediately() {
     let targets = vec![target(4, "r2", "r2-a")];
     let mut load = ServiceLoad::default();
     assert_eq!(choose(&targets, &mut load, &[]), Some(0));
@@ -97,7 +99,7 @@
 }
 
 #[test]
-fn the_less_loaded_of_two_wins_and_a_cold_target_gets_less() {
+fn the_less_loaded_of_two_targets_is_chosen_and_a_new_target_gets_less_load() {
     let targets = vec![target(1, "r1", "r1-a"), target(2, "r1", "r1-a")];
     let mut load = ServiceLoad::default();
     load.start_attempt(&targets[0]);
@@ -111,8 +113,8 @@
 }
 
 #[test]
-fn failures_eject_a_bounded_share_for_a_growing_time() {
-    let targets = spread();
+fn failures_eject_a_limited_share_of_targets_for_increasing_times() {
+    let targets = targets_at_all_distances();
     let policy = policy();
     let mut load = ServiceLoad::default();
     let now = Instant::now();
@@ -133,7 +135,11 @@
         fail(&mut load, &targets[1], now),
         Some(Duration::from_secs(2))
     );
-    assert_eq!(fail(&mut load, &targets[2], now), None, "half are ejected");
+    assert_eq!(
+        fail(&mut load, &targets[2], now),
+        None,
+        "half of the targets are already ejected"
+    );
     assert_eq!(load.ejected_count(now), 2);
     let later = now + Duration::from_secs(2);
     assert_eq!(load.ejected_count(later), 0);
@@ -141,14 +147,14 @@
         fail(&mut load, &targets[0], later),
         Some(Duration::from_secs(4))
     );
-    // A new life of its node starts without a record.
-    let mut reborn = targets[0].clone();
-    reborn.incarnation = Incarnation(2);
-    assert!(!load.get(&reborn).is_ejected(later));
+    // A new incarnation of the node starts with empty statistics.
+    let mut restarted = targets[0].clone();
+    restarted.incarnation = Incarnation(2);
+    assert!(!load.get(&restarted).is_ejected(later));
 }
 
 #[test]
-fn a_target_that_reports_load_of_others_is_believed_for_a_time() {
+fn reported_load_of_other_nodes_counts_until_it_expires() {
     let targets = [target(1, "r1", "r1-a"), target(2, "r1", "r1-a")];
     let mut load = ServiceLoad::default();
     let now = Instant::now();
@@ -162,12 +168,12 @@
 
 proptest! {
     #[test]
-    fn a_choice_is_never_one_that_was_tried(
+    fn a_tried_target_is_never_chosen(
         tried in prop::collection::vec(1..5_u8, 0..4),
         busy in prop::collection::vec(0..6_u8, 4),
         ejected in prop::collection::vec(any::<bool>(), 4),
     ) {
-        let targets = spread();
+        let targets = targets_at_all_distances();
         let policy = policy();
         let mut load = ServiceLoad::default();
         let now = Instant::now();
@@ -181,7 +187,7 @@
         }
         let tried: Vec<_> = tried.into_iter().map(address).collect();
         let mut rng = rand::rng();
-        let choice = choose_target(&place(), &targets, &policy, &mut load, &tried, now, &mut rng);
+        let choice = choose_target(&location(), &targets, &policy, &mut load, &tried, now, &mut rng);
         match choice.chosen {
             Some(index) => {
                 prop_assert!(!tried.contains(&targets[index].node));
@@ -193,7 +199,7 @@
     }
 
     #[test]
-    fn retries_stay_within_their_share(
+    fn retries_stay_within_the_budget(
         calls in 1..2_000_u32,
         percent in 0..=100_u8,
         step_ms in 0..20_u64,
@@ -208,31 +214,36 @@
             clock.advance(Duration::from_millis(step_ms));
         }
         let seconds = clock.now().duration_since(start).as_secs_f64();
-        let most = 10.0 + seconds + f64::from(calls) * f64::from(percent) / 100.0;
-        prop_assert!(f64::from(retries) <= most.ceil());
+        let max_retries = 10.0 + seconds + f64::from(calls) * f64::from(percent) / 100.0;
+        prop_assert!(f64::from(retries) <= max_retries.ceil());
     }
 }
 
 #[test]
-fn a_deadline_only_shrinks() {
+fn a_deadline_is_never_extended() {
     let clock = ManualClock::new();
     let shared: SharedClock = Arc::clone(&clock) as SharedClock;
     let route = Duration::from_secs(2);
-    let of = |asked| CallDeadline::for_call(&shared, route, asked).remaining(clock.now());
-    assert_eq!(of(None), route);
-    assert_eq!(of(Some(Duration::from_secs(9))), route);
-    assert_eq!(of(Some(Duration::from_millis(5))), Duration::from_millis(5));
+    let remaining = |asked| CallDeadline::for_call(&shared, route, asked).remaining(clock.now());
+    assert_eq!(remaining(None), route);
+    assert_eq!(remaining(Some(Duration::from_secs(9))), route);
+    assert_eq!(
+        remaining(Some(Duration::from_millis(5))),
+        Duration::from_millis(5)
+    );
     let deadline = CallDeadline::for_call(&shared, route, None);
     clock.advance(Duration::from_millis(1_999));
     assert!(!deadline.allows_attempt(clock.now()));
 }
 
 #[test]
-fn a_route_takes_no_more_calls_than_its_bound() {
+fn a_route_admits_no_more_calls_than_its_limit() {
     let limit = RouteLimiter::new();
-    let route = "portal".parse().expect("a name");
-    let first = limit.try_acquire(&route, Some(1)).expect("room");
+    let route = "portal".parse().expect("valid name");
+    let permit = limit
+        .try_acquire(&route, Some(1))
+        .expect("no call is in flight");
     assert!(limit.try_acquire(&route, Some(1)).is_none());
-    drop(first);
+    drop(permit);
     assert!(limit.try_acquire(&route, Some(1)).is_some());
 }
