--- a/src/config/delta.rs
+++ b/src/config/delta.rs
@@ -78,10 +78,7 @@
 /// result is invalid or doesn't have the version and hash that `delta` states.
 pub fn apply_delta(state: &ConfigState, delta: &DocumentDelta) -> Result<ConfigState, Rejection> {
     if delta.from != state.version() || delta.from_hash != state.chain() {
-        let why = format!(
-            "the delta was made from another document, of version {}",
-            delta.from
-        );
+        let why = format!("a difference from version {}", delta.from);
         return Err(Rejection::Undecodable(why));
     }
     let revision = Revision(delta.to.0);
@@ -97,10 +94,7 @@
     }
     validate(&resources)?;
     if document_hash(delta.to, &resources)? != delta.to_hash {
-        let why = format!(
-            "the hash of the result differs from that of version {}",
-            delta.to
-        );
+        let why = format!("a difference that does not lead to version {}", delta.to);
         return Err(Rejection::Undecodable(why));
     }
     Ok(ConfigState::from_parts(
--- a/src/config/fold.rs
+++ b/src/config/fold.rs
@@ -61,7 +61,8 @@
 
     /// Returns a state made of the parts of a snapshot or a document.
     ///
-    /// `recent` lists the remembered changes with their verdicts, oldest first.
+    /// `recent` lists the remembered changes with their full verdicts, oldest
+    /// first.
     pub(crate) fn from_parts(
         version: ConfigVersion,
         chain: ChainHash,
--- a/src/error.rs
+++ b/src/error.rs
@@ -75,7 +75,7 @@
             CodecError::TooLarge { length, limit } => {
                 write!(f, "message of {length} bytes, at most {limit} are allowed")
             }
-            CodecError::UnknownFormat(format) => write!(f, "unsupported format number {format}"),
+            CodecError::UnknownFormat(format) => write!(f, "unknown format number {format}"),
             CodecError::Malformed => f.write_str("malformed message"),
             CodecError::Unauthenticated => f.write_str("authentication tag is missing or invalid"),
         }
