--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -37,7 +37,7 @@
 record! {
     /// The execution that holds a key.
     pub struct ClaimHolder {
-        /// The execution, identified by the call at the gate that runs it.
+        /// Identifies the execution by the call at the gate that runs it.
         pub run: CallId,
         /// Address at which the gate accepts calls from other nodes.
         pub hop: SocketAddr,
@@ -63,7 +63,7 @@
         },
     }
 
-    /// A request from a gate to the keeper, the node that writes a claim stream.
+    /// A request from a gate to a keeper, a node that appends claims to a stream.
     pub struct ClaimRequest {
         /// Index of the stream.
         pub stream: u32,
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -33,12 +33,12 @@
 /// Maximum number of waiting late calls per slot.
 const MAX_LATE_PER_SLOT: f64 = 0.4;
 
-/// Minimum time before its deadline that a call must have left, as a multiple of
+/// Minimum time that a call must have left before its deadline, as a multiple of
 /// its expected run time. Less than 1 because run times vary and short runs are
 /// common.
 const MIN_RUN_FACTOR: f64 = 0.6;
 
-/// Time before its latency target that a call must have left to be considered in
+/// Time that a call must have left before its latency target to be considered in
 /// time, as a multiple of its expected run time. With a factor of 1, half of the
 /// calls that are barely admitted would be late, and under sustained overload
 /// nearly all calls are barely admitted.
@@ -67,13 +67,15 @@
 pub struct SlotRequest {
     /// Rank in the queue.
     pub rank: QueueRank,
-    /// Latency target: calls that can finish by this time are served first.
+    /// Latency target, as sent in `wisteriaturn-aim-ms`. Calls that can finish by
+    /// this time are served first.
     pub aim: Instant,
     /// Time after which the answer is useless.
     pub deadline: Instant,
     /// Expected time for which the call holds the slot.
     pub expected_run: Duration,
-    /// Longest wait that is still better than trying another target.
+    /// Longest wait that is still better than trying another target, as sent in
+    /// `wisteriaturn-patience-ms`.
     pub patience: Duration,
 }
 
@@ -91,6 +93,7 @@
     }
 }
 
+/// Rank, latency target and a sequence number that keeps keys unique.
 type QueueKey = (QueueRank, Instant, u64);
 
 #[derive(Debug)]
