--- a/src/route/choose.rs
+++ b/src/route/choose.rs
@@ -89,7 +89,7 @@
     pub candidates: Vec<TargetCandidate>,
     /// Longest wait for a slot at the chosen target that is still better than
     /// going to another target.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Whether the chosen target is full or ejected because no eligible one was
     /// left.
     pub is_last_resort: bool,
@@ -136,7 +136,7 @@
     TargetChoice {
         chosen,
         candidates,
-        patience: Duration::MAX,
+        max_wait: Duration::MAX,
         is_last_resort: false,
     }
 }
--- a/src/route/cost.rs
+++ b/src/route/cost.rs
@@ -86,13 +86,13 @@
 pub struct CallRequirements {
     /// Time left until the route's target latency is over, after which an
     /// answer is late.
-    pub aim: Duration,
+    pub late_after: Duration,
     /// Time left until the deadline, after which an answer is worthless.
     pub deadline: Duration,
     /// Expected size of the answer's body in bytes.
     pub answer_bytes: f64,
     /// Expected run time on a target that reported none.
-    pub run: Duration,
+    pub expected_run_time: Duration,
 }
 
 /// An attempt for which a target is to be chosen.
@@ -101,7 +101,7 @@
     /// The route of the call.
     pub route: &'a RouteName,
     /// The requirements of the call.
-    pub demand: &'a CallRequirements,
+    pub requirements: &'a CallRequirements,
     /// Nodes that earlier attempts of the call went to.
     pub tried: &'a [NodeAddress],
 }
@@ -130,17 +130,17 @@
         }
         target_costs.push(TargetCost {
             candidate: candidate.clone(),
-            run: target_load
+            run_time: target_load
                 .mean_run_time(request.route, now)
-                .unwrap_or(request.demand.run),
+                .unwrap_or(request.requirements.expected_run_time),
             fixed_cost: fixed_cost + rng.random_range(0.0..MAX_NOISE_COST),
         });
     }
-    let Some(chosen) = cheapest(&target_costs, request.demand) else {
+    let Some(chosen) = cheapest(&target_costs, request.requirements) else {
         return TargetChoice {
             chosen: None,
             candidates,
-            patience: Duration::MAX,
+            max_wait: Duration::MAX,
             is_last_resort: false,
         };
     };
@@ -149,7 +149,7 @@
     TargetChoice {
         chosen: Some(chosen),
         candidates,
-        patience: max_useful_wait(&target_costs, chosen, request.demand),
+        max_wait: max_useful_wait(&target_costs, chosen, request.requirements),
         is_last_resort,
     }
 }
@@ -159,7 +159,7 @@
 fn max_useful_wait(
     target_costs: &[TargetCost],
     chosen: usize,
-    demand: &CallRequirements,
+    requirements: &CallRequirements,
 ) -> Duration {
     let detour = target_costs[chosen].round_trip();
     let next_best = target_costs
@@ -168,10 +168,10 @@
         .filter(|(index, target_cost)| {
             *index != chosen && target_cost.candidate.verdict == CandidateVerdict::Eligible
         })
-        .map(|(_, target_cost)| target_cost.expected_cost(demand, detour))
+        .map(|(_, target_cost)| target_cost.expected_cost(requirements, detour))
         .min_by(f64::total_cmp);
     next_best.map_or(Duration::MAX, |limit| {
-        target_costs[chosen].longest_wait_within(demand, limit)
+        target_costs[chosen].longest_wait_within(requirements, limit)
     })
 }
 
@@ -180,7 +180,7 @@
 #[derive(Debug)]
 struct TargetCost {
     candidate: TargetCandidate,
-    run: Duration,
+    run_time: Duration,
     fixed_cost: f64,
 }
 
@@ -195,38 +195,41 @@
 
     /// Returns the expected cost at the estimated load of the target, if the
     /// call gets there after `delay`.
-    fn expected_cost(&self, demand: &CallRequirements, delay: Duration) -> f64 {
+    fn expected_cost(&self, requirements: &CallRequirements, delay: Duration) -> f64 {
         let full_cost = fill(&self.candidate).powi(2) * FULL_TARGET_COST;
-        self.cost_for_time(demand, delay + completion_time(&self.candidate, self.run)) + full_cost
+        self.cost_for_time(
+            requirements,
+            delay + completion_time(&self.candidate, self.run_time),
+        ) + full_cost
     }
 
     /// Returns the cost if the call waits for a slot for `wait`, which means
     /// that all slots are in use when it starts.
-    fn cost_after_wait(&self, demand: &CallRequirements, wait: Duration) -> f64 {
-        let run = self.run.mul_f64(1.0 + FULL_TARGET_SLOWDOWN);
-        self.cost_for_time(demand, wait + run) + FULL_TARGET_COST
+    fn cost_after_wait(&self, requirements: &CallRequirements, wait: Duration) -> f64 {
+        let run_time = self.run_time.mul_f64(1.0 + FULL_TARGET_SLOWDOWN);
+        self.cost_for_time(requirements, wait + run_time) + FULL_TARGET_COST
     }
 
     /// Returns the cost if the target takes `time` until the call ends.
-    fn cost_for_time(&self, demand: &CallRequirements, time: Duration) -> f64 {
-        let bytes = demand.answer_bytes + HEAD_BYTES;
+    fn cost_for_time(&self, requirements: &CallRequirements, time: Duration) -> f64 {
+        let bytes = requirements.answer_bytes + HEAD_BYTES;
         let transfer_cost = TRANSFER_COST_PER_KB[self.distance()] * bytes / 1024.0;
         let time =
-            time + self.round_trip() + self.candidate.link.transfer_time(demand.answer_bytes);
-        let late_cost = probability_over(time, demand.aim) * (1.0 - LATE_ANSWER_VALUE);
-        let missed_cost = probability_over(time, demand.deadline) * LATE_ANSWER_VALUE;
-        let aim = demand.aim.as_secs_f64().max(0.001);
-        let latency_cost = (time.as_secs_f64() / aim).min(1.0) * LATENCY_COST;
+            time + self.round_trip() + self.candidate.link.transfer_time(requirements.answer_bytes);
+        let late_cost = probability_over(time, requirements.late_after) * (1.0 - LATE_ANSWER_VALUE);
+        let missed_cost = probability_over(time, requirements.deadline) * LATE_ANSWER_VALUE;
+        let late_after_secs = requirements.late_after.as_secs_f64().max(0.001);
+        let latency_cost = (time.as_secs_f64() / late_after_secs).min(1.0) * LATENCY_COST;
         transfer_cost + late_cost + missed_cost + latency_cost + self.fixed_cost
     }
 
     /// Returns the longest wait at this target that costs no more than `limit`,
     /// to within 1/64 of the time left until the deadline.
-    fn longest_wait_within(&self, demand: &CallRequirements, limit: f64) -> Duration {
-        let (mut low, mut high) = (Duration::ZERO, demand.deadline);
+    fn longest_wait_within(&self, requirements: &CallRequirements, limit: f64) -> Duration {
+        let (mut low, mut high) = (Duration::ZERO, requirements.deadline);
         for _ in 0..MAX_WAIT_STEPS {
             let middle = (low + high) / 2;
-            if self.cost_after_wait(demand, middle) <= limit {
+            if self.cost_after_wait(requirements, middle) <= limit {
                 low = middle;
             } else {
                 high = middle;
@@ -243,12 +246,12 @@
 }
 
 /// Returns the expected time until a call at a target ends.
-fn completion_time(candidate: &TargetCandidate, run: Duration) -> Duration {
+fn completion_time(candidate: &TargetCandidate, run_time: Duration) -> Duration {
     let slots = f64::from(candidate.slots.max(1));
     let busy = f64::from(candidate.busy);
     let fill = fill(candidate);
     let queued = (busy + 1.0 - slots).max(0.0);
-    run.mul_f64(1.0 + FULL_TARGET_SLOWDOWN * fill * fill + queued / slots)
+    run_time.mul_f64(1.0 + FULL_TARGET_SLOWDOWN * fill * fill + queued / slots)
 }
 
 /// Returns the probability, from 0 to 1, that a duration with the expected
@@ -269,10 +272,10 @@
 /// Returns the index of the cheapest eligible target. If none is eligible, full
 /// ones and then ejected ones are considered, because an attempt that may be
 /// refused is better than none.
-fn cheapest(target_costs: &[TargetCost], demand: &CallRequirements) -> Option<usize> {
+fn cheapest(target_costs: &[TargetCost], requirements: &CallRequirements) -> Option<usize> {
     let costs: Vec<f64> = target_costs
         .iter()
-        .map(|target_cost| target_cost.expected_cost(demand, Duration::ZERO))
+        .map(|target_cost| target_cost.expected_cost(requirements, Duration::ZERO))
         .collect();
     for verdict in [
         CandidateVerdict::Eligible,
--- a/src/route/estimate.rs
+++ b/src/route/estimate.rs
@@ -30,7 +30,7 @@
     /// Size of the answer in bytes.
     pub bytes: f64,
     /// Time until the answer arrives.
-    pub run: Duration,
+    pub run_time: Duration,
 }
 
 /// Moving averages of answer sizes and durations by route. Clones share the
@@ -52,7 +52,8 @@
         let mut averages = lock(&self.averages);
         if let Some(average) = averages.get_mut(route) {
             average.bytes += (bytes - average.bytes) * SAMPLE_WEIGHT;
-            average.run = average.run.mul_f64(1.0 - SAMPLE_WEIGHT) + elapsed.mul_f64(SAMPLE_WEIGHT);
+            average.run_time =
+                average.run_time.mul_f64(1.0 - SAMPLE_WEIGHT) + elapsed.mul_f64(SAMPLE_WEIGHT);
             return;
         }
         if averages.len() >= MAX_ROUTES {
@@ -62,7 +63,7 @@
             route.clone(),
             AnswerEstimate {
                 bytes,
-                run: elapsed,
+                run_time: elapsed,
             },
         );
     }
@@ -77,7 +78,7 @@
     pub fn estimate(&self, route: &RouteName) -> AnswerEstimate {
         self.measured(route).unwrap_or(AnswerEstimate {
             bytes: DEFAULT_ANSWER_BYTES,
-            run: DEFAULT_RUN_TIME,
+            run_time: DEFAULT_RUN_TIME,
         })
     }
 }
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -50,11 +50,11 @@
     load: f64,
     seconds: u64,
     work: Duration,
-    aim: Duration,
+    target_latency: Duration,
     deadline: Duration,
     /// Whether calls carry the longest wait that is better than going
     /// elsewhere.
-    has_patience: bool,
+    has_wait_limit: bool,
 }
 
 impl LoadPattern {
@@ -69,9 +69,9 @@
             load,
             seconds: 12,
             work: Duration::from_millis(160),
-            aim: Duration::from_millis(500),
+            target_latency: Duration::from_millis(500),
             deadline: Duration::from_millis(1_500),
-            has_patience: true,
+            has_wait_limit: true,
         }
     }
 }
@@ -100,7 +100,7 @@
     tried: Vec<NodeAddress>,
     crowded: Vec<NodeAddress>,
     target: usize,
-    patience: Duration,
+    max_wait: Duration,
 }
 
 enum Step {
@@ -229,7 +229,7 @@
             tried: Vec::new(),
             crowded: Vec::new(),
             target: 0,
-            patience: Duration::MAX,
+            max_wait: Duration::MAX,
         });
         self.choose_target(self.calls.len() - 1);
     }
@@ -252,16 +252,16 @@
             data_centre: format!("r{data_centre}-a").parse().expect("valid name"),
         };
         let now = self.clock.now();
-        let demand = CallRequirements {
-            aim: (arrived_at + self.pattern.aim).saturating_duration_since(now),
+        let requirements = CallRequirements {
+            late_after: (arrived_at + self.pattern.target_latency).saturating_duration_since(now),
             deadline: (arrived_at + self.pattern.deadline).saturating_duration_since(now),
             answer_bytes: 1_500.0,
-            run: self.pattern.work,
+            expected_run_time: self.pattern.work,
         };
         let policy = PolicySpec::default_for("portal".parse().expect("valid name"));
         let request = PlacementRequest {
             route: &route(),
-            demand: &demand,
+            requirements: &requirements,
             tried: &excluded,
         };
         let choice = choose_cheapest_target(
@@ -280,8 +280,8 @@
         self.loads[ingress].start_attempt(&self.targets[target]);
         let simulated = &mut self.calls[call];
         simulated.target = target;
-        simulated.patience = if self.pattern.has_patience && !must_wait {
-            choice.patience
+        simulated.max_wait = if self.pattern.has_wait_limit && !must_wait {
+            choice.max_wait
         } else {
             Duration::MAX
         };
@@ -302,15 +302,15 @@
 
     fn reach_gate(&mut self, call: usize) {
         let simulated = &self.calls[call];
-        let demand = SlotRequest {
+        let request = SlotRequest {
             rank: QueueRank::new(CallClass::Interactive, CallPriority(0)),
-            aim: simulated.arrived_at + self.pattern.aim,
+            aim: simulated.arrived_at + self.pattern.target_latency,
             deadline: simulated.arrived_at + self.pattern.deadline,
             expected_run: self.pattern.work,
-            patience: simulated.patience,
+            patience: simulated.max_wait,
         };
         let gate = self.gates[simulated.target].clone();
-        let slot = Box::pin(async move { gate.acquire_for(demand).await });
+        let slot = Box::pin(async move { gate.acquire_for(request).await });
         self.waiting.push((call, slot));
     }
 
@@ -372,7 +372,7 @@
             self.targets.len(),
             now,
         );
-        if elapsed <= self.pattern.aim {
+        if elapsed <= self.pattern.target_latency {
             self.result.in_time += 1;
         } else if elapsed <= self.pattern.deadline {
             self.result.late += 1;
@@ -403,17 +403,17 @@
     "pages".parse().expect("valid name")
 }
 
-fn mean_value_over_seeds(load: f64, has_patience: bool) -> f64 {
+fn mean_value_over_seeds(load: f64, has_wait_limit: bool) -> f64 {
     let seeds = 1..=3;
     let count = seeds.clone().count() as f64;
     let values = seeds.map(|seed| {
         let pattern = LoadPattern {
-            has_patience,
+            has_wait_limit,
             ..LoadPattern::many_ingresses(seed, load)
         };
         let result = LoadSimulation::new(pattern).run();
         println!(
-            "load {load}, with patience {has_patience}: {result:?} {:.3}",
+            "load {load}, with wait limit {has_wait_limit}: {result:?} {:.3}",
             result.mean_value()
         );
         result.mean_value()
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -38,11 +38,11 @@
     (gate, clock, permit.expect("a free slot"))
 }
 
-fn demand(clock: &ManualClock, priority: u8, aim: u64, deadline: u64) -> SlotRequest {
+fn slot_request(clock: &ManualClock, priority: u8, late_after: u64, deadline: u64) -> SlotRequest {
     SlotRequest {
         patience: Duration::MAX,
         rank: QueueRank::new(CallClass::Interactive, CallPriority(priority)),
-        aim: clock.now() + ms(aim),
+        aim: clock.now() + ms(late_after),
         deadline: clock.now() + ms(deadline),
         expected_run: ms(100),
     }
@@ -50,12 +50,12 @@
 
 async fn enqueue(
     gate: &SlotGate,
-    demand: SlotRequest,
+    request: SlotRequest,
 ) -> tokio::task::JoinHandle<Option<RefusalReason>> {
     let waiting = gate.load().waiting;
     let other = gate.clone();
     let task = tokio::spawn(async move {
-        match other.acquire_for(demand).await {
+        match other.acquire_for(request).await {
             // The permit is never released, so that the next call does not get
             // the slot.
             Ok(permit) => {
@@ -76,9 +76,9 @@
     let (gate, clock, permit) = busy_gate().await;
     // To be in time, it would have to start within 20 ms, but the slot is
     // expected to become free in 100 ms.
-    let mut late = demand(&clock, 0, 120, 5_000);
+    let mut late = slot_request(&clock, 0, 120, 5_000);
     let late_task = enqueue(&gate, late).await;
-    let timely = enqueue(&gate, demand(&clock, 5, 900, 5_000)).await;
+    let timely = enqueue(&gate, slot_request(&clock, 5, 900, 5_000)).await;
     clock.advance(ms(100));
     drop(permit);
     assert_eq!(
@@ -96,8 +96,8 @@
 #[tokio::test]
 async fn a_call_that_would_miss_its_deadline_is_refused_when_a_slot_becomes_free() {
     let (gate, clock, permit) = busy_gate().await;
-    let infeasible = enqueue(&gate, demand(&clock, 0, 300, 300)).await;
-    let patient = enqueue(&gate, demand(&clock, 0, 5_000, 5_000)).await;
+    let infeasible = enqueue(&gate, slot_request(&clock, 0, 300, 300)).await;
+    let patient = enqueue(&gate, slot_request(&clock, 0, 5_000, 5_000)).await;
     // The running call takes much longer than the mean run time.
     clock.advance(ms(280));
     drop(permit);
@@ -113,8 +113,8 @@
     let (gate, clock, permit) = busy_gate().await;
     // All three calls can still be in time, one after the other.
     let mut waiting = Vec::new();
-    for aim in [450, 550, 650] {
-        waiting.push(enqueue(&gate, demand(&clock, 0, aim, 10_000)).await);
+    for late_after in [450, 550, 650] {
+        waiting.push(enqueue(&gate, slot_request(&clock, 0, late_after, 10_000)).await);
     }
     // The running call takes much longer than the mean run time. Now all three
     // calls are late, and only one late call may wait per slot.
@@ -136,14 +136,14 @@
 async fn a_call_that_is_in_time_only_if_its_run_is_short_counts_as_late() {
     // The slot is expected to become free in 100 ms, and runs take 100 ms, most
     // of them up to 130 ms.
-    for (aim, is_likely) in [(230, true), (229, false)] {
+    for (late_after, is_likely) in [(230, true), (229, false)] {
         let (gate, clock, _held) = busy_gate().await;
         // This call is already late, so there is no room for further late
         // calls.
-        let other = demand(&clock, 9, 0, 10_000);
+        let other = slot_request(&clock, 9, 0, 10_000);
         let _late = enqueue(&gate, other).await;
-        let call = enqueue(&gate, demand(&clock, 0, aim, 10_000)).await;
-        assert_eq!(!call.is_finished(), is_likely, "{aim} ms");
+        let call = enqueue(&gate, slot_request(&clock, 0, late_after, 10_000)).await;
+        assert_eq!(!call.is_finished(), is_likely, "{late_after} ms");
     }
 }
 
@@ -153,7 +153,7 @@
     assert_eq!(gate.load().expected_wait(), ms(100));
     drop(permit);
     assert_eq!(gate.load().expected_wait(), Duration::ZERO);
-    let late = demand(&clock, 9, 1, 1_000);
+    let late = slot_request(&clock, 9, 1, 1_000);
     assert!(
         gate.acquire_for(late).await.is_ok(),
         "late, but a slot is free"
@@ -253,20 +253,20 @@
         }
     }
 
-    fn choose(&mut self, bytes: f64, aim: u64) -> Option<usize> {
-        self.select(bytes, aim).chosen
+    fn choose(&mut self, bytes: f64, late_after: u64) -> Option<usize> {
+        self.select(bytes, late_after).chosen
     }
 
-    fn patience(&mut self, bytes: f64, aim: u64) -> Duration {
-        self.select(bytes, aim).patience
+    fn max_wait(&mut self, bytes: f64, late_after: u64) -> Duration {
+        self.select(bytes, late_after).max_wait
     }
 
-    fn select(&mut self, bytes: f64, aim: u64) -> TargetChoice {
-        let demand = CallRequirements {
-            aim: ms(aim),
-            deadline: ms(aim * 4),
+    fn select(&mut self, bytes: f64, late_after: u64) -> TargetChoice {
+        let requirements = CallRequirements {
+            late_after: ms(late_after),
+            deadline: ms(late_after * 4),
             answer_bytes: bytes,
-            run: ms(160),
+            expected_run_time: ms(160),
         };
         let location = NodeLocation {
             region: "r1".parse().expect("valid name"),
@@ -275,7 +275,7 @@
         let route = route();
         let call = PlacementRequest {
             route: &route,
-            demand: &demand,
+            requirements: &requirements,
             tried: &[],
         };
         let policy = policy();
@@ -332,20 +332,20 @@
 }
 
 #[tokio::test]
-async fn a_call_is_refused_as_crowded_when_the_wait_exceeds_its_patience() {
+async fn a_call_is_refused_as_crowded_when_the_wait_exceeds_its_max_wait() {
     let (gate, clock, permit) = busy_gate().await;
-    let patient = |patience: u64| SlotRequest {
-        patience: ms(patience),
-        ..demand(&clock, 0, 5_000, 10_000)
+    let with_max_wait = |max_wait: u64| SlotRequest {
+        patience: ms(max_wait),
+        ..slot_request(&clock, 0, 5_000, 10_000)
     };
     // The expected wait is one run of 100 ms.
-    let refused = enqueue(&gate, patient(99)).await;
+    let refused = enqueue(&gate, with_max_wait(99)).await;
     assert_eq!(
         refused.await.expect("no panic"),
         Some(RefusalReason::Crowded)
     );
-    let waits = enqueue(&gate, patient(100)).await;
-    let refused = enqueue(&gate, patient(100)).await;
+    let waits = enqueue(&gate, with_max_wait(100)).await;
+    let refused = enqueue(&gate, with_max_wait(100)).await;
     assert_eq!(
         refused.await.expect("no panic"),
         Some(RefusalReason::Crowded)
@@ -355,21 +355,21 @@
 }
 
 #[test]
-fn patience_grows_when_other_targets_are_farther_away_or_fuller() {
+fn the_max_wait_grows_when_other_targets_are_farther_away_or_fuller() {
     let mut fixture = SelectionFixture::new();
-    let near = fixture.patience(1_500.0, 500);
+    let near = fixture.max_wait(1_500.0, 500);
     assert!(near < ms(100), "a free target is in the region: {near:?}");
-    let large = fixture.patience(90_000.0, 500);
+    let large = fixture.max_wait(90_000.0, 500);
     assert!(large > ms(300), "a large answer stays local: {large:?}");
     fixture.start_calls(2, 17);
     fixture.start_calls(3, 17);
-    let with_full_others = fixture.patience(1_500.0, 500);
+    let with_full_others = fixture.max_wait(1_500.0, 500);
     assert!(
         with_full_others > near,
         "the others are full: {with_full_others:?}"
     );
     fixture.targets.truncate(1);
-    assert_eq!(fixture.patience(1_500.0, 500), Duration::MAX);
+    assert_eq!(fixture.max_wait(1_500.0, 500), Duration::MAX);
 }
 
 #[test]
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -116,7 +116,7 @@
         .route
         .as_ref()
         .and_then(|route| node.runs.measured(route));
-    of_route.map_or_else(|| target.gate.load().mean_run, |held| held.run)
+    of_route.map_or_else(|| target.gate.load().mean_run, |held| held.run_time)
 }
 
 /// Notes how long a call held its slot.
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -54,7 +54,7 @@
         let map = response.headers_mut();
         headers::set(map, headers::BUSY, load.busy + load.waiting);
         if let Some(held) = route.and_then(|route| node.runs.measured(&route)) {
-            headers::set(map, headers::MEAN_RUN_US, held.run.as_micros());
+            headers::set(map, headers::MEAN_RUN_US, held.run_time.as_micros());
         }
         headers::set(map, headers::ROOM_MS, load.expected_wait().as_millis());
     }
--- a/wisteriaturnd/src/ingress/placing.rs
+++ b/wisteriaturnd/src/ingress/placing.rs
@@ -80,7 +80,7 @@
                 let route = &call.route.spec.name;
                 let calls = PlacementRequest {
                     route,
-                    demand,
+                    requirements: demand,
                     tried,
                 };
                 choose_cheapest_target(&node.place, &targets, policy, load, calls, now, &mut rng)
@@ -91,7 +91,7 @@
     log_choice(call, &choice, tried.len() + 1, now);
     choice.chosen.map(|index| ChosenPlace {
         target: targets[index].clone(),
-        patience: choice.patience,
+        patience: choice.max_wait,
         is_last_resort: choice.is_last_resort,
     })
 }
@@ -102,10 +102,10 @@
     call.route.spec.target_latency_ms?;
     let expected = node.sizes.estimate(&call.route.spec.name);
     Some(CallRequirements {
-        aim: call.aim.remaining(now),
+        late_after: call.aim.remaining(now),
         deadline: call.deadline.remaining(now),
         answer_bytes: expected.bytes,
-        run: expected.run,
+        expected_run_time: expected.run_time,
     })
 }
 
@@ -136,7 +136,7 @@
         busy = chosen.busy,
         slots = chosen.slots,
         candidates = candidates,
-        patience_ms = choice.patience.min(call.deadline.remaining(now)).as_millis() as u64,
+        patience_ms = choice.max_wait.min(call.deadline.remaining(now)).as_millis() as u64,
         attempt = attempt;
         "route"
     );
