--- a/src/gate/announce.rs
+++ b/src/gate/announce.rs
@@ -192,10 +192,10 @@
         true
     }
 
-    /// Removes the instance with the earliest incarnation if `newcomer` would
-    /// exceed the limit. Clears the addresses if they have reached it too.
-    fn evict_oldest(&mut self, newcomer: &InstanceId) {
-        if self.instances.len() < MAX_TRACKED_INSTANCES || self.instances.contains_key(newcomer) {
+    /// Removes the instance with the earliest incarnation if adding `instance`
+    /// would exceed the limit. Clears the addresses if they have reached it too.
+    fn evict_oldest(&mut self, instance: &InstanceId) {
+        if self.instances.len() < MAX_TRACKED_INSTANCES || self.instances.contains_key(instance) {
             return;
         }
         let oldest = self
--- a/src/gate/ledger.rs
+++ b/src/gate/ledger.rs
@@ -96,7 +96,7 @@
 /// Guard for a registered call. A call that is dropped before it was started
 /// is recorded as revoked, one that is dropped later as lost.
 #[derive(Debug)]
-pub struct CallTicket {
+pub struct CallGuard {
     ledger: CallLedger,
     call: CallId,
     sender: watch::Sender<Option<Arc<CallResult>>>,
@@ -119,7 +119,7 @@
     ///
     /// Returns [`RefusalReason::Revoked`] if the call was revoked or registered
     /// before and [`RefusalReason::Saturated`] if the ledger is full.
-    pub fn register(&self, call: CallId) -> Result<CallTicket, RefusalReason> {
+    pub fn register(&self, call: CallId) -> Result<CallGuard, RefusalReason> {
         let mut state = lock(&self.state);
         state.expire(self.clock.now());
         if state.calls.contains_key(&call) {
@@ -130,7 +130,7 @@
         }
         let (sender, receiver) = watch::channel(None);
         state.calls.insert(call, CallState::Waiting(receiver));
-        Ok(CallTicket {
+        Ok(CallGuard {
             ledger: self.clone(),
             call,
             sender,
@@ -211,7 +211,7 @@
     }
 }
 
-impl CallTicket {
+impl CallGuard {
     /// Marks the call as started. From here on it may have run.
     ///
     /// # Errors
@@ -268,7 +268,7 @@
     }
 }
 
-impl Drop for CallTicket {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         if self.is_finished {
             return;
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -69,21 +69,21 @@
     pub rank: QueueRank,
     /// Latency target, as sent in `wisteriaturn-aim-ms`. Calls that can finish by
     /// this time are served first.
-    pub aim: Instant,
+    pub latency_target: Instant,
     /// Time after which the answer is useless.
     pub deadline: Instant,
     /// Expected time for which the call holds the slot.
     pub expected_run: Duration,
     /// Longest wait that is still better than trying another target, as sent in
     /// `wisteriaturn-patience-ms`.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 impl SlotRequest {
     /// Returns `true` if a call that starts at `start` will probably meet its
     /// latency target.
     fn is_in_time(&self, start: Instant) -> bool {
-        start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.aim
+        start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.latency_target
     }
 
     /// Returns `true` if a call that starts at `start` may finish before its
@@ -217,10 +217,10 @@
     ) -> Result<SlotPermit, RefusalReason> {
         let request = SlotRequest {
             rank: QueueRank::new(class, CallPriority::default()),
-            aim: deadline,
+            latency_target: deadline,
             deadline,
             expected_run: Duration::ZERO,
-            patience: Duration::MAX,
+            max_wait: Duration::MAX,
         };
         self.acquire_for(request).await
     }
@@ -251,10 +251,10 @@
             state.busy += 1;
             return Ok(Admission::Admitted(self.permit(now)));
         }
-        let key_bound = (request.rank, request.aim, u64::MAX);
+        let key_bound = (request.rank, request.latency_target, u64::MAX);
         let ahead = state.waiting.range(..key_bound).count();
         let wait = state.expected_wait(ahead);
-        if wait > request.patience {
+        if wait > request.max_wait {
             return Err(RefusalReason::Crowded);
         }
         let start = now + wait;
@@ -266,7 +266,7 @@
         }
         state.ensure_capacity(&request)?;
         let (sender, receiver) = oneshot::channel();
-        let key = (request.rank, request.aim, state.next_sequence);
+        let key = (request.rank, request.latency_target, state.next_sequence);
         state.next_sequence += 1;
         state.waiting.insert(key, WaitingCall { request, sender });
         Ok(Admission::Waiting(receiver))
@@ -388,8 +388,8 @@
         let Some(last) = self.waiting.last_entry() else {
             return Ok(());
         };
-        let (last_rank, last_aim, _) = *last.key();
-        if (last_rank, last_aim) <= (request.rank, request.aim) {
+        let (last_rank, last_latency_target, _) = *last.key();
+        if (last_rank, last_latency_target) <= (request.rank, request.latency_target) {
             return Err(RefusalReason::Saturated);
         }
         let _ = last.remove().sender.send(Err(RefusalReason::Saturated));
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -8,7 +8,7 @@
 use wisteriaturn::clock::{Clock, ManualClock, SharedClock};
 use wisteriaturn::config::resource::CallClass;
 use wisteriaturn::gate::claim::{ClaimBatch, ClaimHolder, ClaimItem, ClaimOutcome, ClaimTable};
-use wisteriaturn::gate::ledger::{CallLedger, CallResult, CallStatus, CallTicket, StoredAnswer};
+use wisteriaturn::gate::ledger::{CallGuard, CallLedger, CallResult, CallStatus, StoredAnswer};
 use wisteriaturn::gate::outcome::RefusalReason;
 use wisteriaturn::gate::quarantine::{QUARANTINE_DURATION, QuarantineStatus, SuspectTable};
 use wisteriaturn::gate::slots::{SlotGate, SlotPermit};
@@ -141,22 +141,22 @@
     fn a_call_reported_as_not_run_never_starts(steps in ledger_steps()) {
         let clock = ManualClock::new();
         let ledger = CallLedger::new(Arc::clone(&clock) as SharedClock);
-        let mut tickets: Vec<Option<CallTicket>> = (0..4).map(|_| None).collect();
+        let mut guards: Vec<Option<CallGuard>> = (0..4).map(|_| None).collect();
         let mut started = [0_u32; 4];
         let mut reported_not_run = [false; 4];
         for step in steps {
             match step {
                 LedgerStep::Enter(call) => {
-                    if let Ok(ticket) = ledger.register(CallId(call.into())) {
+                    if let Ok(guard) = ledger.register(CallId(call.into())) {
                         // A call can be registered again only after its entry expired.
-                        tickets[usize::from(call)] = Some(ticket);
+                        guards[usize::from(call)] = Some(guard);
                     }
                 }
                 LedgerStep::Start(call) => {
                     let index = usize::from(call);
                     if started[index] == 0
-                        && let Some(ticket) = &mut tickets[index]
-                        && ticket.start().is_ok()
+                        && let Some(guard) = &mut guards[index]
+                        && guard.start().is_ok()
                     {
                         prop_assert!(!reported_not_run[index]);
                         started[index] += 1;
@@ -164,7 +164,7 @@
                 }
                 LedgerStep::End(call) => {
                     let index = usize::from(call);
-                    if let Some(ticket) = tickets[index].take() {
+                    if let Some(guard) = guards[index].take() {
                         let result = if started[index] > 0 {
                             CallResult::Answered(StoredAnswer {
                                 status: 200,
@@ -174,10 +174,10 @@
                         } else {
                             CallResult::Refused(RefusalReason::Saturated)
                         };
-                        ticket.finish(result);
+                        guard.finish(result);
                     }
                 }
-                LedgerStep::Drop(call) => tickets[usize::from(call)] = None,
+                LedgerStep::Drop(call) => guards[usize::from(call)] = None,
                 LedgerStep::Revoke(call) => {
                     let index = usize::from(call);
                     if let CallStatus::NotRun(_) = ledger.revoke(CallId(call.into())) {
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -304,10 +304,10 @@
         let simulated = &self.calls[call];
         let request = SlotRequest {
             rank: QueueRank::new(CallClass::Interactive, CallPriority(0)),
-            aim: simulated.arrived_at + self.pattern.target_latency,
+            latency_target: simulated.arrived_at + self.pattern.target_latency,
             deadline: simulated.arrived_at + self.pattern.deadline,
             expected_run: self.pattern.work,
-            patience: simulated.max_wait,
+            max_wait: simulated.max_wait,
         };
         let gate = self.gates[simulated.target].clone();
         let slot = Box::pin(async move { gate.acquire_for(request).await });
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -40,9 +40,9 @@
 
 fn slot_request(clock: &ManualClock, priority: u8, late_after: u64, deadline: u64) -> SlotRequest {
     SlotRequest {
-        patience: Duration::MAX,
+        max_wait: Duration::MAX,
         rank: QueueRank::new(CallClass::Interactive, CallPriority(priority)),
-        aim: clock.now() + ms(late_after),
+        latency_target: clock.now() + ms(late_after),
         deadline: clock.now() + ms(deadline),
         expected_run: ms(100),
     }
@@ -88,7 +88,7 @@
     );
     assert!(!late_task.is_finished(), "the late call keeps waiting");
     // A second late call is refused: only one late call may wait per slot.
-    late.aim = clock.now();
+    late.latency_target = clock.now();
     let second = gate.acquire_for(late).await;
     assert_eq!(second.err(), Some(RefusalReason::Saturated));
 }
@@ -335,7 +335,7 @@
 async fn a_call_is_refused_as_crowded_when_the_wait_exceeds_its_max_wait() {
     let (gate, clock, permit) = busy_gate().await;
     let with_max_wait = |max_wait: u64| SlotRequest {
-        patience: ms(max_wait),
+        max_wait: ms(max_wait),
         ..slot_request(&clock, 0, 5_000, 10_000)
     };
     // The expected wait is one run of 100 ms.
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -89,10 +89,10 @@
     }
     let demand = SlotRequest {
         rank: QueueRank::new(call.class, call.priority),
-        aim: call.aim.at(),
+        latency_target: call.aim.at(),
         deadline: until,
         expected_run: run,
-        patience: call.patience,
+        max_wait: call.patience,
     };
     let acquired = timeout_at(until.into(), target.gate.acquire_for(demand)).await;
     let permit = acquired.map_err(|_| RefusalReason::Deadline)??;
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -1,6 +1,6 @@
 //! The run of one call at the gate of its target.
 //!
-//! Everything up to [`CallTicket::start`] can still be refused as `not-run`;
+//! Everything up to [`CallGuard::start`] can still be refused as `not-run`;
 //! everything after it cannot. An idempotent call runs in the task of its
 //! connection, so it ends when its node goes away. Any other call runs in a
 //! task of its own: a cut link must not end it half way, and its answer is
@@ -14,7 +14,7 @@
 use hyper::{Request, Response};
 use tokio::time::timeout_at;
 use wisteriaturn::gate::claim::{ClaimHolder, ClaimOutcome};
-use wisteriaturn::gate::ledger::{CallResult, CallTicket, MAX_STORED_BODY_BYTES, StoredAnswer};
+use wisteriaturn::gate::ledger::{CallGuard, CallResult, MAX_STORED_BODY_BYTES, StoredAnswer};
 use wisteriaturn::gate::outcome::{CallOutcome, RefusalReason};
 use wisteriaturn::gate::slots::SlotPermit;
 use wisteriaturn::ids::KeyHash;
@@ -105,26 +105,26 @@
     call: GateCall,
     request: Request<NodeBody>,
 ) -> Response<NodeBody> {
-    let ticket = match node.ledger.register(call.call) {
-        Ok(ticket) => ticket,
+    let guard = match node.ledger.register(call.call) {
+        Ok(guard) => guard,
         Err(reason) => return refusal(CallOutcome::NotRun, reason),
     };
     if let Some(key) = call.key {
         match claim(node, &call, key).await {
             ClaimOutcome::Won => {}
             ClaimOutcome::Lost(holder) => {
-                ticket.finish(CallResult::Refused(RefusalReason::ClaimLost));
+                guard.finish(CallResult::Refused(RefusalReason::ClaimLost));
                 return ask_holder(node, &call, holder).await;
             }
             ClaimOutcome::Unavailable => {
                 // The claim may still reach the log, so it is freed as well.
-                return refuse(node, &call, ticket, RefusalReason::ClaimUnavailable);
+                return refuse(node, &call, guard, RefusalReason::ClaimUnavailable);
             }
         }
     }
     match admit(node, &call).await {
-        Ok(admitted) => run_admitted(node, call, request, ticket, admitted).await,
-        Err(reason) => refuse(node, &call, ticket, reason),
+        Ok(admitted) => run_admitted(node, call, request, guard, admitted).await,
+        Err(reason) => refuse(node, &call, guard, reason),
     }
 }
 
@@ -132,10 +132,10 @@
 fn refuse(
     node: &NodeHandle,
     call: &GateCall,
-    ticket: CallTicket,
+    guard: CallGuard,
     reason: RefusalReason,
 ) -> Response<NodeBody> {
-    ticket.finish(CallResult::Refused(reason));
+    guard.finish(CallResult::Refused(reason));
     if let Some(key) = call.key {
         node.claims.release(node, key, call.call);
     }
@@ -146,11 +146,11 @@
     node: &NodeHandle,
     call: GateCall,
     request: Request<NodeBody>,
-    mut ticket: CallTicket,
+    mut guard: CallGuard,
     admitted: AdmittedRun,
 ) -> Response<NodeBody> {
-    if let Err(reason) = ticket.start() {
-        return refuse(node, &call, ticket, reason);
+    if let Err(reason) = guard.start() {
+        return refuse(node, &call, guard, reason);
     }
     node.metrics.target_runs.inc();
     let AdmittedRun {
@@ -164,7 +164,7 @@
     let run = StartedRun {
         node: node.clone(),
         call,
-        ticket,
+        guard,
         permit,
         address,
         started,
@@ -181,7 +181,7 @@
 struct StartedRun {
     node: NodeHandle,
     call: GateCall,
-    ticket: CallTicket,
+    guard: CallGuard,
     permit: SlotPermit,
     address: SocketAddr,
     started: Instant,
@@ -191,7 +191,7 @@
     /// Ends a run without a whole answer.
     async fn lose(self, reason: RefusalReason) -> Response<NodeBody> {
         drop(self.permit);
-        self.ticket.finish(CallResult::Lost);
+        self.guard.finish(CallResult::Lost);
         lost(&self.node, &self.call, self.address, reason).await
     }
 
@@ -199,14 +199,14 @@
     /// lives, so there is no crash to look for.
     fn lose_unchecked(self) -> Response<NodeBody> {
         drop(self.permit);
-        self.ticket.finish(CallResult::Lost);
+        self.guard.finish(CallResult::Lost);
         refusal(CallOutcome::Unknown, RefusalReason::TargetLost)
     }
 
     /// Ends a call of which its target said that it did not run it.
     fn take_back(self) -> Response<NodeBody> {
         drop(self.permit);
-        self.ticket.finish_not_run(RefusalReason::TargetBusy);
+        self.guard.finish_not_run(RefusalReason::TargetBusy);
         if let Some(key) = self.call.key {
             self.node.claims.release(&self.node, key, self.call.call);
         }
@@ -236,7 +236,7 @@
         drop(self.permit);
         note_run(&self.node, &self.call, self.started);
         let response = kept_response(&kept);
-        self.ticket.finish(CallResult::Answered(kept));
+        self.guard.finish(CallResult::Answered(kept));
         note_end(self.node, &self.call, self.address, BodyEnd::Whole);
         response
     }
@@ -246,7 +246,7 @@
         let rest = large.for_attempt().unwrap_or_else(crate::http::body::empty);
         let body = GuardedBody::new(rest, move |end| {
             drop(self.permit);
-            self.ticket.finish(CallResult::TooLarge);
+            self.guard.finish(CallResult::TooLarge);
             note_end(self.node, &self.call, self.address, end);
         });
         kept_response(head).map(|_| boxed(body))
