--- a/wisteriaturnd/src/claims/desk.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -41,23 +41,26 @@
 
 /// Takes claims and releases; the tasks behind it send them to keepers.
 #[derive(Debug)]
-pub struct ClaimDesk {
+pub struct ClaimClient {
     queues: Vec<mpsc::Sender<QueuedItem>>,
 }
 
 /// The other ends of the desk's queues, to be started once.
 #[derive(Debug)]
-pub struct ClaimQueues {
+pub struct ClaimClientQueues {
     queues: Vec<mpsc::Receiver<QueuedItem>>,
 }
 
-impl ClaimDesk {
+impl ClaimClient {
     /// Returns a desk and its queues.
-    pub fn new() -> (Self, ClaimQueues) {
+    pub fn new() -> (Self, ClaimClientQueues) {
         let (senders, receivers) = (0..CLAIM_STREAM_COUNT)
             .map(|_| mpsc::channel(QUEUE_LIMIT))
             .unzip();
-        (Self { queues: senders }, ClaimQueues { queues: receivers })
+        (
+            Self { queues: senders },
+            ClaimClientQueues { queues: receivers },
+        )
     }
 
     /// Claims a key for a run, waiting until `until` at most.
@@ -91,7 +94,7 @@
     }
 }
 
-impl ClaimQueues {
+impl ClaimClientQueues {
     /// Starts a task for each stream.
     pub fn start(self, node: &NodeHandle) {
         for (stream, queue) in (0..).zip(self.queues) {
@@ -152,7 +155,7 @@
     let home = node.settings.log_data_centre.as_ref();
     let keeper = keeper(&lock(&node.table), demand.stream, home)?;
     if keeper == node.address() {
-        return Some(node.keeper.demand(node, demand).await);
+        return Some(node.keeper.submit(node, demand).await);
     }
     if link.as_ref().is_none_or(|(peer, _)| *peer != keeper) {
         *link = None;
--- a/wisteriaturnd/src/claims/keeper.rs
+++ b/wisteriaturnd/src/claims/keeper.rs
@@ -51,21 +51,24 @@
 
 /// The other ends of the keeper's queues, to be started once.
 #[derive(Debug)]
-pub struct KeeperQueues {
+pub struct ClaimKeeperQueues {
     queues: Vec<mpsc::Receiver<QueuedDemand>>,
 }
 
 impl ClaimKeeper {
     /// Returns a keeper and its queues.
-    pub fn new() -> (Self, KeeperQueues) {
+    pub fn new() -> (Self, ClaimKeeperQueues) {
         let (senders, receivers) = (0..CLAIM_STREAM_COUNT)
             .map(|_| mpsc::channel(QUEUE_LIMIT))
             .unzip();
-        (Self { queues: senders }, KeeperQueues { queues: receivers })
+        (
+            Self { queues: senders },
+            ClaimKeeperQueues { queues: receivers },
+        )
     }
 
     /// Writes a demand and returns what became of its items.
-    pub async fn demand(&self, node: &NodeHandle, demand: ClaimRequest) -> Vec<ClaimOutcome> {
+    pub async fn submit(&self, node: &NodeHandle, demand: ClaimRequest) -> Vec<ClaimOutcome> {
         let count = demand.items.len();
         let refused = || vec![ClaimOutcome::Unavailable; count];
         let Some(queue) = self.queues.get(demand.stream as usize) else {
@@ -84,7 +87,7 @@
     }
 }
 
-impl KeeperQueues {
+impl ClaimKeeperQueues {
     /// Starts a task for each stream.
     pub fn start(self, node: &NodeHandle) {
         for (stream, queue) in (0..).zip(self.queues) {
--- a/wisteriaturnd/src/claims/mod.rs
+++ b/wisteriaturnd/src/claims/mod.rs
@@ -2,5 +2,5 @@
 //!
 //! See [docs/decisions/0001](../../../docs/decisions/0001-keepers-by-the-log.md).
 
-pub mod desk;
+pub mod client;
 pub mod keeper;
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -28,8 +28,8 @@
 use crate::gate::run;
 use crate::http::body::{GuardedBody, NodeBody, RequestBody, boxed, empty};
 use crate::http::headers;
-use crate::ingress::placing::{ChosenPlace, choose};
-use crate::ingress::silence::wait_silence;
+use crate::ingress::liveness::wait_until_unresponsive;
+use crate::ingress::selection::{ChosenTarget, choose_next_target};
 use crate::logs::Clean;
 use crate::mesh::hop::{self, GateCall, HopResult};
 use crate::node::NodeHandle;
@@ -66,7 +66,7 @@
     /// The caller's name for its attempt.
     pub request_id: Option<HeaderValue>,
     /// Until when its answer is worth most.
-    pub aim: CallDeadline,
+    pub soft_deadline: CallDeadline,
     /// When the answer must be there.
     pub deadline: CallDeadline,
     /// Whether running it twice does no harm.
@@ -139,7 +139,7 @@
     // whole is no longer `not-run`, whatever becomes of later attempts.
     let mut doubt = None;
     let mut refused = None;
-    while let Some(place) = choose(node, &call, &count.tried, &count.crowded) {
+    while let Some(place) = choose_next_target(node, &call, &count.tried, &count.crowded) {
         let end = attempt(node, &mut call, &place, count.all() + 1).await;
         count.note(&end, place.target.node);
         let may_follow = may_follow(node, &call, &end, &count)
@@ -228,11 +228,11 @@
 async fn attempt(
     node: &NodeHandle,
     call: &mut RoutedCall,
-    place: &ChosenPlace,
+    place: &ChosenTarget,
     number: usize,
 ) -> AttemptEnd {
     let target = &place.target;
-    let gate_call = gate_call(call, place.patience);
+    let gate_call = gate_call(call, place.max_wait);
     let body = call.body.for_attempt().unwrap_or_else(empty);
     let mut request = Request::new(body);
     *request.method_mut() = call.parts.method.clone();
@@ -283,7 +283,7 @@
         class: call.route.spec.class,
         priority: call.route.spec.priority,
         route: Some(call.route.spec.name.clone()),
-        aim: call.aim,
+        aim: call.soft_deadline,
         request_id: call.request_id.clone(),
         deadline: call.deadline,
         patience,
@@ -310,7 +310,7 @@
     let result = if call.is_idempotent {
         tokio::select! {
             result = sending => result,
-            () = wait_silence(node, target, &call.service) => {
+            () = wait_until_unresponsive(node, target, &call.service) => {
                 return refusal(CallOutcome::Unknown, RefusalReason::GateLost);
             }
         }
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -28,7 +28,7 @@
 use crate::node::{NodeHandle, NodeStage};
 
 /// Largest head of a request in bytes.
-pub const HEAD_LIMIT: usize = 64 * 1024;
+pub const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// When a caller may come again whose call met no target at all.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -147,7 +147,7 @@
 
 /// Tells whether a request may be started early: whether its route is known and
 /// its calls are idempotent.
-pub fn is_repeatable<B>(node: &NodeHandle, request: &Request<B>) -> bool {
+pub fn may_start_early<B>(node: &NodeHandle, request: &Request<B>) -> bool {
     let view = node.view.load();
     let Some(host) = host_of(request) else {
         return false;
@@ -205,12 +205,16 @@
     let map = request.headers();
     let has_both = map.contains_key(CONTENT_LENGTH) && map.contains_key(TRANSFER_ENCODING);
     let is_large = request.body().size_hint().lower() > body_bound(node, view);
-    let most_head = view.config.limits.as_ref().map_or(HEAD_LIMIT, |limits| {
-        usize::try_from(limits.max_head_bytes).unwrap_or(HEAD_LIMIT)
-    });
+    let most_head = view
+        .config
+        .limits
+        .as_ref()
+        .map_or(MAX_HEAD_BYTES, |limits| {
+            usize::try_from(limits.max_head_bytes).unwrap_or(MAX_HEAD_BYTES)
+        });
     if has_both
         || is_large
-        || head_bytes(request) > most_head.min(HEAD_LIMIT)
+        || head_bytes(request) > most_head.min(MAX_HEAD_BYTES)
         || map.get_all(HOST).iter().count() > 1
     {
         return Err(RefusalReason::BadRequest);
@@ -286,7 +290,8 @@
         .map_err(|_| RefusalReason::Deadline)?
         .map_err(|_| RefusalReason::BadRequest)?;
     let aim = route.spec.target_latency().saturating_sub(CALLER_TRIP);
-    let aim = CallDeadline::for_call(&node.clock, aim, Some(deadline.remaining(node.clock.now())));
+    let soft_deadline =
+        CallDeadline::for_call(&node.clock, aim, Some(deadline.remaining(node.clock.now())));
     let service = choose_service(&route);
     let fingerprint = match key.as_ref().filter(|_| !is_idempotent) {
         Some(key) => {
@@ -310,7 +315,7 @@
         route,
         service,
         request_id,
-        aim,
+        soft_deadline,
         deadline,
         is_idempotent,
         has_key: key.is_some(),
--- a/wisteriaturnd/src/ingress/silence.rs
+++ b/wisteriaturnd/src/ingress/liveness.rs
@@ -29,7 +29,11 @@
 ///
 /// Giving up only helps a call that can be tried elsewhere, so it needs a retry
 /// in the budget, and a node that stops gives up nothing that is under way.
-pub(crate) async fn wait_silence(node: &NodeHandle, target: &TargetEntry, service: &ServiceName) {
+pub(crate) async fn wait_until_unresponsive(
+    node: &NodeHandle,
+    target: &TargetEntry,
+    service: &ServiceName,
+) {
     tokio::time::sleep(DOUBT_TIME).await;
     let mut missed = 0;
     loop {
--- a/wisteriaturnd/src/ingress/mod.rs
+++ b/wisteriaturnd/src/ingress/mod.rs
@@ -5,7 +5,7 @@
 
 pub mod attempt;
 pub mod call;
+pub mod liveness;
 pub mod pipeline;
-pub mod placing;
 pub mod port;
-pub mod silence;
+pub mod selection;
--- a/wisteriaturnd/src/ingress/pipeline.rs
+++ b/wisteriaturnd/src/ingress/pipeline.rs
@@ -200,7 +200,7 @@
             if is_next || state.early.len() >= EARLY_LIMIT {
                 continue;
             }
-            if call::is_repeatable(&self.node, &request) {
+            if call::may_start_early(&self.node, &request) {
                 let early = self.start(index, request);
                 state.early.push_back(early);
             }
--- a/wisteriaturnd/src/ingress/port.rs
+++ b/wisteriaturnd/src/ingress/port.rs
@@ -16,7 +16,7 @@
     let limits = PortLimits {
         connections: node.settings.tuning.max_connections,
         drop_cause: "ingress-connections",
-        head_bytes: call::HEAD_LIMIT,
+        head_bytes: call::MAX_HEAD_BYTES,
         headers: HEADER_LIMIT,
         is_for_callers: true,
     };
--- a/wisteriaturnd/src/ingress/placing.rs
+++ b/wisteriaturnd/src/ingress/selection.rs
@@ -16,22 +16,22 @@
 const CROWDED_LIMIT: usize = 3;
 
 /// The place of the next attempt.
-pub(crate) struct ChosenPlace {
+pub(crate) struct ChosenTarget {
     /// The target.
     pub(crate) target: TargetEntry,
     /// Longest wait for a slot there that is better than going elsewhere.
-    pub(crate) patience: Duration,
+    pub(crate) max_wait: Duration,
     is_last_resort: bool,
 }
 
 /// Chooses the target of the next attempt. `tried` are those that had one and
 /// `crowded` those that sent the call on.
-pub(crate) fn choose(
+pub(crate) fn choose_next_target(
     node: &NodeHandle,
     call: &RoutedCall,
     tried: &[NodeAddress],
     crowded: &[NodeAddress],
-) -> Option<ChosenPlace> {
+) -> Option<ChosenTarget> {
     if !crowded.is_empty() && crowded.len() < CROWDED_LIMIT {
         let excluded = [tried, crowded].concat();
         let choice = choose_among(node, call, &excluded);
@@ -43,8 +43,8 @@
     Some(match crowded {
         [] => choice,
         // These targets told their load just now, so the least wait is known.
-        _ => ChosenPlace {
-            patience: Duration::MAX,
+        _ => ChosenTarget {
+            max_wait: Duration::MAX,
             ..choice
         },
     })
@@ -54,7 +54,7 @@
     node: &NodeHandle,
     call: &RoutedCall,
     tried: &[NodeAddress],
-) -> Option<ChosenPlace> {
+) -> Option<ChosenTarget> {
     let service = &call.service.spec.name;
     // A retry looks at the newest targets; the routes stay those of the call.
     let targets = if tried.is_empty() {
@@ -89,9 +89,9 @@
         }
     });
     log_choice(call, &choice, tried.len() + 1, now);
-    choice.chosen.map(|index| ChosenPlace {
+    choice.chosen.map(|index| ChosenTarget {
         target: targets[index].clone(),
-        patience: choice.max_wait,
+        max_wait: choice.max_wait,
         is_last_resort: choice.is_last_resort,
     })
 }
@@ -102,7 +102,7 @@
     call.route.spec.target_latency_ms?;
     let expected = node.sizes.estimate(&call.route.spec.name);
     Some(CallRequirements {
-        late_after: call.aim.remaining(now),
+        late_after: call.soft_deadline.remaining(now),
         deadline: call.deadline.remaining(now),
         answer_bytes: expected.bytes,
         expected_run_time: expected.run_time,
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -125,7 +125,7 @@
         } => exchange(node, &data_centres, records),
         PeerRequest::Pull { version } => pull(node, version, transfers),
         PeerRequest::Holders { version } => PeerAnswer::Holders(holders(node, version).await),
-        PeerRequest::Claim(demand) => PeerAnswer::Claimed(node.keeper.demand(node, demand).await),
+        PeerRequest::Claim(demand) => PeerAnswer::Claimed(node.keeper.submit(node, demand).await),
         PeerRequest::Inquire { hop, call, boot_id } => {
             PeerAnswer::Inquired(hop::revoke_for_peer(node, hop, call, boot_id).await)
         }
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -36,7 +36,7 @@
 use wisteriaturn::route::limit::RouteLimiter;
 use wisteriaturn::route::load::LoadTracker;
 
-use crate::claims::desk::ClaimDesk;
+use crate::claims::client::ClaimClient;
 use crate::claims::keeper::ClaimKeeper;
 use crate::control::source::SourceStanding;
 use crate::control::store::ConfigStore;
@@ -115,7 +115,7 @@
     /// Time that the targets on this VM take for calls of each route.
     pub runs: AnswerEstimator,
     /// Claims that this gate asks for.
-    pub claims: ClaimDesk,
+    pub claims: ClaimClient,
     /// Claim streams that this node writes.
     pub keeper: ClaimKeeper,
     /// How other nodes are connected to.
@@ -268,7 +268,7 @@
             region: settings.region.clone(),
             data_centre: settings.data_centre.clone(),
         };
-        let (claims, claim_queues) = ClaimDesk::new();
+        let (claims, claim_queues) = ClaimClient::new();
         let (keeper, keeper_queues) = ClaimKeeper::new();
         let node = NodeHandle(Arc::new(NodeState {
             life: BootId(rand::random()),
