--- a/src/member/pull.rs
+++ b/src/member/pull.rs
@@ -35,7 +35,7 @@
     }
 
     /// Ends the pull that started at `started_at`. If another pull has taken
-    /// over the lease, that one goes on.
+    /// over the lease, that pull keeps it.
     pub fn finish(&mut self, started_at: Instant) {
         if self.started_at == Some(started_at) {
             self.started_at = None;
--- a/src/member/reader.rs
+++ b/src/member/reader.rs
@@ -14,8 +14,9 @@
 use crate::member::role::{choose_members, choose_members_by_link};
 use crate::member::table::MemberTable;
 
-/// Number of members for each reader. A reader sends 2.5 heartbeats of about 70
-/// bytes a second to each of them, which is 4 KB/s for a full group.
+/// Largest average number of members for each reader. A reader sends 2.5
+/// heartbeats of about 70 bytes a second to each of them, which is 4 KB/s for a
+/// group of this size.
 pub const MEMBERS_PER_READER: usize = 24;
 
 /// Interval between two heartbeats of a reader.
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -26,8 +26,9 @@
     Unchanged,
     /// The record was stored in the table.
     Applied,
-    /// The record claims that this node is not alive. The node has raised its
-    /// own sequence number and must spread its record.
+    /// The record outranks this node's own record, usually because it claims
+    /// that the node is not alive. The node has raised its own sequence number
+    /// above it and must spread its own record.
     Refuted,
     /// The table is full and the record is of an unknown member.
     Full,
@@ -228,8 +229,8 @@
                 unreachable += u32::from(entry.record.state != MemberState::Alive);
             }
         }
-        // A cut link makes two thirds of the members appear lost. With fewer
-        // than four members, the share is not conclusive.
+        // A cut link shows as two thirds or more of the members appearing lost.
+        // With fewer than four members, the share is not conclusive.
         known >= 4 && unreachable * 3 >= known * 2
     }
 
--- a/src/route/choose.rs
+++ b/src/route/choose.rs
@@ -25,8 +25,8 @@
 /// samples does not score as infinitely fast.
 const LATENCY_OFFSET_SECS: f64 = 0.001;
 
-/// Factor by which the score of a target gets worse while its node is suspected
-/// to be dead.
+/// Factor by which the score of a target is multiplied while its node is
+/// suspected to be dead.
 const SUSPECT_FACTOR: f64 = 8.0;
 
 /// Lowest slow-start factor, which a target has when it has just come up.
@@ -88,10 +88,10 @@
     /// All targets, in the order in which they were passed.
     pub candidates: Vec<TargetCandidate>,
     /// Longest wait for a slot at the chosen target that is still better than
-    /// going to another target.
+    /// going to another target. [`choose_target`] sets no limit.
     pub max_wait: Duration,
     /// Whether the chosen target is full or ejected because no eligible one was
-    /// left.
+    /// left. [`choose_target`] does not report this.
     pub is_last_resort: bool,
 }
 
@@ -110,6 +110,8 @@
 }
 
 /// Chooses a target for one attempt, by distance and two random choices.
+///
+/// The maximum distance is kept in `load` from call to call.
 pub fn choose_target<R>(
     location: &NodeLocation,
     targets: &[TargetEntry],
