--- a/tests/integration/edge_rules.rs
+++ b/tests/integration/edge_rules.rs
@@ -4,8 +4,8 @@
 
 use hyper::header::HeaderValue;
 use hyper::{Method, Response};
-use wisteriaturnd::gate::standing::AnswerStanding;
-use wisteriaturnd::http::headers::EdgeNames;
+use wisteriaturnd::gate::answer_kind::AnswerKind;
+use wisteriaturnd::http::headers::EdgeHeaders;
 use wisteriaturnd::ingress::pipeline::HeadScanner;
 use wisteriaturnd::settings::parse_duration;
 
@@ -47,36 +47,36 @@
 }
 
 /// Returns header names for targets that sign their successful responses.
-fn edge_with_signatures() -> EdgeNames {
-    EdgeNames {
-        answer_proof: Some(hyper::header::HeaderName::from_static("signature")),
-        ..EdgeNames::own()
+fn edge_with_signatures() -> EdgeHeaders {
+    EdgeHeaders {
+        response_stamp: Some(hyper::header::HeaderName::from_static("signature")),
+        ..EdgeHeaders::standard()
     }
 }
 
 #[yare::parameterized(
-    response_to_the_call = { 200, &[("wisteriaturn-request-id", "a"), ("signature", "s")], AnswerStanding::Own },
-    error_response_to_the_call = { 500, &[("wisteriaturn-request-id", "a")], AnswerStanding::Own },
+    response_to_the_call = { 200, &[("wisteriaturn-request-id", "a"), ("signature", "s")], AnswerKind::Own },
+    error_response_to_the_call = { 500, &[("wisteriaturn-request-id", "a")], AnswerKind::Own },
     response_to_another_call = {
-        200, &[("wisteriaturn-request-id", "b"), ("signature", "s")], AnswerStanding::Foreign
+        200, &[("wisteriaturn-request-id", "b"), ("signature", "s")], AnswerKind::Foreign
     },
     refusal_of_another_call = {
         503, &[("wisteriaturn-request-id", "b"), ("wisteriaturn-not-run", "1")],
-        AnswerStanding::Foreign
+        AnswerKind::Foreign
     },
-    unsigned_success = { 200, &[("wisteriaturn-request-id", "a")], AnswerStanding::Foreign },
+    unsigned_success = { 200, &[("wisteriaturn-request-id", "a")], AnswerKind::Foreign },
     unrequested_content_encoding = {
         200,
         &[("wisteriaturn-request-id", "a"), ("signature", "s"), ("content-encoding", "gzip")],
-        AnswerStanding::Foreign
+        AnswerKind::Foreign
     },
-    not_run = { 503, &[("wisteriaturn-not-run", "1")], AnswerStanding::NotRun },
-    other_target = { 421, &[], AnswerStanding::OtherTarget },
+    not_run = { 503, &[("wisteriaturn-not-run", "1")], AnswerKind::NotRun },
+    other_target = { 421, &[], AnswerKind::OtherTarget },
 )]
 fn a_response_is_classified_by_its_status_and_headers(
     status: u16,
     headers: &[(&str, &str)],
-    expected: AnswerStanding,
+    expected: AnswerKind,
 ) {
     let mut builder = Response::builder().status(status);
     for (name, value) in headers {
@@ -84,7 +84,8 @@
     }
     let response = builder.body(()).expect("a valid response");
     let request_id = HeaderValue::from_static("a");
-    let standing = AnswerStanding::of(&edge_with_signatures(), Some(&request_id), false, &response);
+    let standing =
+        AnswerKind::classify(&edge_with_signatures(), Some(&request_id), false, &response);
     assert_eq!(standing, expected);
 }
 
--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -26,7 +26,7 @@
 use crate::admin::change::{RawChange, RawOperation, RawPrecondition, apply, find_report};
 use crate::admin::reply::{error_reply, json_reply, text_reply};
 use crate::admin::view;
-use crate::gate::targets::{self, AnnounceError, TargetAnnouncement};
+use crate::gate::targets::{self, RegistrationError, TargetAnnouncement};
 use crate::http::body::NodeBody;
 use crate::node::{NodeHandle, NodeStage};
 
@@ -307,13 +307,15 @@
 }
 
 async fn announce(node: &NodeHandle, announcement: &TargetAnnouncement) -> Response<NodeBody> {
-    match targets::announce(node, announcement).await {
+    match targets::register(node, announcement).await {
         Ok(()) => {
             let ttl = node.settings.tuning.announce_ttl.as_millis() as u64;
             json_reply(StatusCode::OK, &json!({ "ttl_ms": ttl }))
         }
-        Err(error @ AnnounceError::NoService(_)) => error_reply(StatusCode::CONFLICT, error),
-        Err(error @ AnnounceError::NotPermitted(_)) => error_reply(StatusCode::FORBIDDEN, error),
+        Err(error @ RegistrationError::NoService(_)) => error_reply(StatusCode::CONFLICT, error),
+        Err(error @ RegistrationError::NotPermitted(_)) => {
+            error_reply(StatusCode::FORBIDDEN, error)
+        }
         Err(error) => error_reply(StatusCode::UNPROCESSABLE_ENTITY, error),
     }
 }
--- a/wisteriaturnd/src/control/start.rs
+++ b/wisteriaturnd/src/control/start.rs
@@ -183,7 +183,7 @@
         report.newest_peer = Some(peer);
     }
     peer_client::merge_records(node, records);
-    targets::restore(node, &departures).await;
+    targets::restore_departures(node, &departures).await;
 }
 
 /// Peers may remember an earlier life with a clock that was ahead.
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -15,16 +15,16 @@
 
 use crate::error::LinkError;
 use crate::gate::targets::{self, LocalTarget};
-use crate::http::pool::PooledLink;
+use crate::http::pool::PooledConnection;
 use crate::mesh::hop::GateCall;
 use crate::node::{NodeHandle, NodeStage};
 
 /// What a run holds of its target.
-pub(crate) struct AdmittedRun {
+pub(crate) struct AdmittedCall {
     /// The slot.
     pub(crate) permit: SlotPermit,
     /// A connection to the target.
-    pub(crate) link: PooledLink,
+    pub(crate) link: PooledConnection,
     /// The target.
     pub(crate) target: Arc<LocalTarget>,
 }
@@ -33,7 +33,7 @@
 pub(crate) async fn admit(
     node: &NodeHandle,
     call: &GateCall,
-) -> Result<AdmittedRun, RefusalReason> {
+) -> Result<AdmittedCall, RefusalReason> {
     let came = node.clock.now();
     let admitted = admit_now(node, call).await;
     let waited = node.clock.now().saturating_duration_since(came);
@@ -61,7 +61,7 @@
 }
 
 /// Checks all that can refuse a call, waits for a slot and for a connection.
-async fn admit_now(node: &NodeHandle, call: &GateCall) -> Result<AdmittedRun, RefusalReason> {
+async fn admit_now(node: &NodeHandle, call: &GateCall) -> Result<AdmittedCall, RefusalReason> {
     match node.current_stage() {
         NodeStage::Starting => return Err(RefusalReason::NotReady),
         NodeStage::Draining | NodeStage::Stopping | NodeStage::Closing => {
@@ -102,7 +102,7 @@
         return Err(RefusalReason::Deadline);
     }
     let link = connect(node, call, &target).await?;
-    Ok(AdmittedRun {
+    Ok(AdmittedCall {
         permit,
         link,
         target,
@@ -120,7 +120,7 @@
 }
 
 /// Notes how long a call held its slot.
-pub(crate) fn note_run(node: &NodeHandle, call: &GateCall, started: Instant) {
+pub(crate) fn record_run(node: &NodeHandle, call: &GateCall, started: Instant) {
     if let Some(route) = &call.route {
         let took = node.clock.now().saturating_duration_since(started);
         node.runs.record(route, 0, took);
@@ -131,8 +131,8 @@
     node: &NodeHandle,
     call: &GateCall,
     target: &LocalTarget,
-) -> Result<PooledLink, RefusalReason> {
-    match node.target_pool.take(target.address).await {
+) -> Result<PooledConnection, RefusalReason> {
+    match node.target_pool.acquire(target.address).await {
         Ok(link) => Ok(link),
         Err(error) => {
             log::warn!(
--- a/wisteriaturnd/src/gate/answer.rs
+++ b/wisteriaturnd/src/gate/answer.rs
@@ -47,7 +47,7 @@
             return;
         }
         let seconds = after.as_secs_f64();
-        if self.edge.has_fractional_retry {
+        if self.edge.has_fractional_retry_after {
             headers::set(response.headers_mut(), RETRY_AFTER, format!("{seconds:.3}"));
         } else {
             let whole = seconds.ceil().max(1.0);
@@ -73,7 +73,7 @@
 }
 
 /// Returns a kept answer as a response.
-pub fn kept_response(answer: &StoredAnswer) -> Response<NodeBody> {
+pub fn stored_response(answer: &StoredAnswer) -> Response<NodeBody> {
     let mut response = Response::new(full(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
@@ -94,7 +94,7 @@
     match answer {
         InquiryAnswer::NotRun(why) => refusal(CallOutcome::NotRun, *why),
         InquiryAnswer::Ended(CallResult::Answered(kept)) => {
-            let mut response = kept_response(kept);
+            let mut response = stored_response(kept);
             headers::set(response.headers_mut(), headers::REPLAYED, true);
             response
         }
--- a/wisteriaturnd/src/gate/standing.rs
+++ b/wisteriaturnd/src/gate/answer_kind.rs
@@ -7,11 +7,11 @@
 use hyper::header::{CONTENT_ENCODING, HeaderValue};
 use hyper::{Response, StatusCode};
 
-use crate::http::headers::EdgeNames;
+use crate::http::headers::EdgeHeaders;
 
 /// Where an answer stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerStanding {
+pub enum AnswerKind {
     /// The target's answer to the call.
     Own,
     /// The target says that it did not run the call.
@@ -23,11 +23,11 @@
     Foreign,
 }
 
-impl AnswerStanding {
+impl AnswerKind {
     /// Judges the head of an answer to the call that the caller named
     /// `request_id`. `may_encode` tells whether the caller accepts encodings.
-    pub fn of<B>(
-        edge: &EdgeNames,
+    pub fn classify<B>(
+        edge: &EdgeHeaders,
         request_id: Option<&HeaderValue>,
         may_encode: bool,
         response: &Response<B>,
@@ -45,7 +45,7 @@
         if map.contains_key(&edge.not_run) {
             return Self::NotRun;
         }
-        if let Some(proof) = &edge.answer_proof
+        if let Some(proof) = &edge.response_stamp
             && response.status().is_success()
             && !map.contains_key(proof)
         {
--- a/wisteriaturnd/src/gate/crash.rs
+++ b/wisteriaturnd/src/gate/crash.rs
@@ -19,7 +19,7 @@
 const CRASH_CHECK_TIME: Duration = Duration::from_millis(200);
 
 /// Notes how the body of an answer ended.
-pub fn note_end(node: NodeHandle, call: &GateCall, address: SocketAddr, end: BodyEnd) {
+pub fn handle_body_end(node: NodeHandle, call: &GateCall, address: SocketAddr, end: BodyEnd) {
     let fingerprint = call.fingerprint;
     match end {
         BodyEnd::Whole => {
@@ -61,7 +61,7 @@
         return false;
     }
     node.metrics.target_losses.inc();
-    node.target_pool.forget(address);
+    node.target_pool.close_idle(address);
     // It announces itself again when it is back.
     targets::withdraw(node, &call.service).await;
     let fingerprint = call.fingerprint;
--- a/wisteriaturnd/src/gate/mod.rs
+++ b/wisteriaturnd/src/gate/mod.rs
@@ -3,9 +3,9 @@
 
 pub mod admit;
 pub mod answer;
+pub mod answer_kind;
 pub mod crash;
 pub mod port;
 pub mod run;
 pub mod send;
-pub mod standing;
 pub mod targets;
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -26,10 +26,10 @@
 /// Bounds of the port. A request has a caller's head with the mesh's own
 /// headers, so its bounds are above those of the ingress.
 const LIMITS: PortLimits = PortLimits {
-    connections: 4096,
+    max_connections: 4096,
     drop_cause: "hop-connections",
-    head_bytes: 80 * 1024,
-    headers: 120,
+    max_head_bytes: 80 * 1024,
+    max_headers: 120,
     is_for_callers: false,
 };
 
@@ -55,7 +55,7 @@
 }
 
 async fn handle(node: &NodeHandle, request: Request<Incoming>) -> Response<NodeBody> {
-    let question = headers::text(request.headers(), &headers::ASK).map(str::to_owned);
+    let question = headers::text(request.headers(), &headers::INQUIRY).map(str::to_owned);
     if let Some(question) = question {
         return answer_question(node, &question, &request).await;
     }
@@ -78,8 +78,8 @@
     let map = request.headers();
     let service: ServiceName = headers::parsed(map, &headers::SERVICE)?;
     let is_idempotent: bool = headers::parsed(map, &headers::IDEMPOTENT)?;
-    let left = headers::deadline(map, &headers::DEADLINE_MS)?;
-    let aim = headers::deadline(map, &headers::AIM_MS);
+    let left = headers::parsed_millis(map, &headers::DEADLINE_MS)?;
+    let aim = headers::parsed_millis(map, &headers::LATENCY_TARGET_MS);
     let key = map.get(headers::IDEMPOTENCY_KEY).filter(|_| !is_idempotent);
     Some(GateCall {
         call: headers::parsed(map, &headers::CALL)?,
@@ -89,7 +89,7 @@
         route: headers::parsed(map, &headers::ROUTE),
         aim: CallDeadline::for_call(&node.clock, left, aim),
         deadline: CallDeadline::for_call(&node.clock, left, None),
-        patience: headers::parsed(map, &headers::PATIENCE_MS)
+        patience: headers::parsed(map, &headers::MAX_WAIT_MS)
             .map_or(Duration::MAX, Duration::from_millis),
         is_idempotent,
         fingerprint: headers::parsed(map, &headers::FINGERPRINT)?,
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -20,15 +20,15 @@
 use wisteriaturn::ids::KeyHash;
 use wisteriaturn::peer::message::InquiryAnswer;
 
-use crate::gate::admit::{AdmittedRun, admit, note_run};
-use crate::gate::answer::{inquiry_response, kept_response, refusal};
-use crate::gate::crash::{check_crash, note_end};
+use crate::gate::admit::{AdmittedCall, admit, record_run};
+use crate::gate::answer::{inquiry_response, refusal, stored_response};
+use crate::gate::crash::{check_crash, handle_body_end};
 use crate::gate::port;
-use crate::gate::send::{SendEnd, send};
-use crate::http::body::{BodyEnd, GuardedBody, NodeBody, RequestBody, boxed};
+use crate::gate::send::{SendOutcome, send};
+use crate::http::body::{BodyEnd, BufferedBody, NodeBody, OnEndBody, boxed};
 use crate::http::exchange::pooled_body;
 use crate::http::headers;
-use crate::http::pool::PooledLink;
+use crate::http::pool::PooledConnection;
 use crate::mesh::hop::{self, ASK_INQUIRE, GateCall};
 use crate::node::NodeHandle;
 
@@ -56,7 +56,11 @@
         if let Some(held) = route.and_then(|route| node.runs.measured(&route)) {
             headers::set(map, headers::MEAN_RUN_US, held.run_time.as_micros());
         }
-        headers::set(map, headers::ROOM_MS, load.expected_wait().as_millis());
+        headers::set(
+            map,
+            headers::EXPECTED_WAIT_MS,
+            load.expected_wait().as_millis(),
+        );
     }
     response
 }
@@ -70,7 +74,7 @@
         Ok(admitted) => admitted,
         Err(reason) => return refusal(CallOutcome::NotRun, reason),
     };
-    let AdmittedRun {
+    let AdmittedCall {
         permit,
         link,
         target,
@@ -79,10 +83,10 @@
     let started = node.clock.now();
     node.metrics.target_runs.inc();
     let (response, link) = match send(node, call, link, &target, request).await {
-        SendEnd::Answered(response, link) => (*response, link),
-        SendEnd::NotRun => return refusal(CallOutcome::NotRun, RefusalReason::TargetBusy),
-        SendEnd::Foreign => return refusal(CallOutcome::Unknown, RefusalReason::TargetLost),
-        SendEnd::Lost(reason) => return lost(node, call, address, reason).await,
+        SendOutcome::Answered(response, link) => (*response, link),
+        SendOutcome::NotRun => return refusal(CallOutcome::NotRun, RefusalReason::TargetBusy),
+        SendOutcome::Foreign => return refusal(CallOutcome::Unknown, RefusalReason::TargetLost),
+        SendOutcome::Lost(reason) => return lost(node, call, address, reason).await,
     };
     let (mut parts, body) = response.into_parts();
     headers::strip_hop_by_hop(&mut parts.headers);
@@ -93,9 +97,9 @@
     let body = pooled_body(body, link, &node.target_pool, stall, move |end| {
         drop(permit);
         if end == BodyEnd::Whole {
-            note_run(&owner, &call, started);
+            record_run(&owner, &call, started);
         }
-        note_end(owner, &call, address, end);
+        handle_body_end(owner, &call, address, end);
     });
     Response::from_parts(parts, body)
 }
@@ -147,13 +151,13 @@
     call: GateCall,
     request: Request<NodeBody>,
     mut guard: CallGuard,
-    admitted: AdmittedRun,
+    admitted: AdmittedCall,
 ) -> Response<NodeBody> {
     if let Err(reason) = guard.start() {
         return refuse(node, &call, guard, reason);
     }
     node.metrics.target_runs.inc();
-    let AdmittedRun {
+    let AdmittedCall {
         permit,
         link,
         target,
@@ -170,10 +174,10 @@
         started,
     };
     match sent {
-        SendEnd::Answered(response, link) => run.deliver(*response, link).await,
-        SendEnd::NotRun => run.take_back(),
-        SendEnd::Foreign => run.lose_unchecked(),
-        SendEnd::Lost(reason) => run.lose(reason).await,
+        SendOutcome::Answered(response, link) => run.deliver(*response, link).await,
+        SendOutcome::NotRun => run.take_back(),
+        SendOutcome::Foreign => run.lose_unchecked(),
+        SendOutcome::Lost(reason) => run.lose(reason).await,
     }
 }
 
@@ -214,7 +218,11 @@
     }
 
     /// Reads the answer, so that it can be kept until it is whole.
-    async fn deliver(self, response: Response<Incoming>, link: PooledLink) -> Response<NodeBody> {
+    async fn deliver(
+        self,
+        response: Response<Incoming>,
+        link: PooledConnection,
+    ) -> Response<NodeBody> {
         let (parts, body) = response.into_parts();
         let kept = StoredAnswer {
             status: parts.status.as_u16(),
@@ -224,8 +232,8 @@
         let stall = self.node.settings.tuning.stall_timeout;
         let body = pooled_body(body, link, &self.node.target_pool, stall, |_| ());
         let until = self.call.deadline.at().into();
-        match timeout_at(until, RequestBody::read(body, MAX_STORED_BODY_BYTES)).await {
-            Ok(Ok(RequestBody::Whole(body))) => self.keep(StoredAnswer { body, ..kept }),
+        match timeout_at(until, BufferedBody::read(body, MAX_STORED_BODY_BYTES)).await {
+            Ok(Ok(BufferedBody::Whole(body))) => self.keep(StoredAnswer { body, ..kept }),
             Ok(Ok(large)) => self.stream(&kept, large),
             Ok(Err(_)) => self.lose(RefusalReason::TargetLost).await,
             Err(_) => self.lose(RefusalReason::Deadline).await,
@@ -234,22 +242,24 @@
 
     fn keep(self, kept: StoredAnswer) -> Response<NodeBody> {
         drop(self.permit);
-        note_run(&self.node, &self.call, self.started);
-        let response = kept_response(&kept);
+        record_run(&self.node, &self.call, self.started);
+        let response = stored_response(&kept);
         self.guard.finish(CallResult::Answered(kept));
-        note_end(self.node, &self.call, self.address, BodyEnd::Whole);
+        handle_body_end(self.node, &self.call, self.address, BodyEnd::Whole);
         response
     }
 
     /// Streams an answer that is too large to keep; a lost link loses it.
-    fn stream(self, head: &StoredAnswer, mut large: RequestBody) -> Response<NodeBody> {
-        let rest = large.for_attempt().unwrap_or_else(crate::http::body::empty);
-        let body = GuardedBody::new(rest, move |end| {
+    fn stream(self, head: &StoredAnswer, mut large: BufferedBody) -> Response<NodeBody> {
+        let rest = large
+            .take_for_attempt()
+            .unwrap_or_else(crate::http::body::empty);
+        let body = OnEndBody::new(rest, move |end| {
             drop(self.permit);
             self.guard.finish(CallResult::TooLarge);
-            note_end(self.node, &self.call, self.address, end);
+            handle_body_end(self.node, &self.call, self.address, end);
         });
-        kept_response(head).map(|_| boxed(body))
+        stored_response(head).map(|_| boxed(body))
     }
 }
 
--- a/wisteriaturnd/src/gate/send.rs
+++ b/wisteriaturnd/src/gate/send.rs
@@ -7,12 +7,12 @@
 use tokio::time::timeout_at;
 use wisteriaturn::gate::outcome::RefusalReason;
 
-use crate::gate::standing::AnswerStanding;
+use crate::gate::answer_kind::AnswerKind;
 use crate::gate::targets::{self, LocalTarget};
-use crate::http::body::{NodeBody, RequestBody};
+use crate::http::body::{BufferedBody, NodeBody};
 use crate::http::exchange::{self, ExchangeError, pooled_body};
 use crate::http::headers;
-use crate::http::pool::PooledLink;
+use crate::http::pool::PooledConnection;
 use crate::mesh::hop::GateCall;
 use crate::node::NodeHandle;
 
@@ -20,9 +20,9 @@
 const REFUSAL_LIMIT: usize = 64 * 1024;
 
 /// How the exchange of a started call ended.
-pub(crate) enum SendEnd {
+pub(crate) enum SendOutcome {
     /// The target answered this call.
-    Answered(Box<Response<Incoming>>, PooledLink),
+    Answered(Box<Response<Incoming>>, PooledConnection),
     /// The target says that it did not run the call.
     NotRun,
     /// What came belongs to another call or did not come from the target.
@@ -36,10 +36,10 @@
 pub(crate) async fn send(
     node: &NodeHandle,
     call: &GateCall,
-    mut link: PooledLink,
+    mut link: PooledConnection,
     target: &LocalTarget,
     mut request: Request<NodeBody>,
-) -> SendEnd {
+) -> SendOutcome {
     let map = request.headers_mut();
     let left = call.deadline.remaining(node.clock.now()).as_millis();
     headers::set(map, node.edge.deadline_ms.clone(), left);
@@ -59,11 +59,11 @@
                 request = *unsent;
                 link = match node.target_pool.open(target.address).await {
                     Ok(link) => link,
-                    Err(_) => return SendEnd::Lost(RefusalReason::TargetLost),
+                    Err(_) => return SendOutcome::Lost(RefusalReason::TargetLost),
                 };
             }
-            Ok(Err(_)) => return SendEnd::Lost(RefusalReason::TargetLost),
-            Err(_) => return SendEnd::Lost(RefusalReason::Deadline),
+            Ok(Err(_)) => return SendOutcome::Lost(RefusalReason::TargetLost),
+            Err(_) => return SendOutcome::Lost(RefusalReason::Deadline),
         }
     }
 }
@@ -75,10 +75,11 @@
     target: &LocalTarget,
     may_encode: bool,
     response: Response<Incoming>,
-    link: PooledLink,
-) -> SendEnd {
-    let standing = AnswerStanding::of(&node.edge, call.request_id.as_ref(), may_encode, &response);
-    if standing != AnswerStanding::Own {
+    link: PooledConnection,
+) -> SendOutcome {
+    let standing =
+        AnswerKind::classify(&node.edge, call.request_id.as_ref(), may_encode, &response);
+    if standing != AnswerKind::Own {
         log::warn!(
             event = "answer-refused",
             request:% = call.request_text(),
@@ -90,30 +91,30 @@
         );
     }
     match standing {
-        AnswerStanding::Own => SendEnd::Answered(Box::new(response), link),
-        AnswerStanding::Foreign => {
+        AnswerKind::Own => SendOutcome::Answered(Box::new(response), link),
+        AnswerKind::Foreign => {
             // The next answer on this connection may be ours, or anything.
-            node.target_pool.forget(target.address);
-            SendEnd::Foreign
+            node.target_pool.close_idle(target.address);
+            SendOutcome::Foreign
         }
-        AnswerStanding::NotRun => {
+        AnswerKind::NotRun => {
             finish_refusal(node, response, link);
-            SendEnd::NotRun
+            SendOutcome::NotRun
         }
-        AnswerStanding::OtherTarget => {
+        AnswerKind::OtherTarget => {
             // Another target took the address over; it will announce itself.
             targets::withdraw(node, &call.service).await;
-            SendEnd::NotRun
+            SendOutcome::NotRun
         }
     }
 }
 
 /// Reads the rest of a target's refusal, so that its connection can be kept.
-fn finish_refusal(node: &NodeHandle, response: Response<Incoming>, link: PooledLink) {
+fn finish_refusal(node: &NodeHandle, response: Response<Incoming>, link: PooledConnection) {
     let stall = node.settings.tuning.stall_timeout;
     let body = pooled_body(response.into_body(), link, &node.target_pool, stall, |_| ());
     tokio::spawn(async move {
         // A body that fails closes its connection, which is all there is to do.
-        let _ = RequestBody::read(body, REFUSAL_LIMIT).await;
+        let _ = BufferedBody::read(body, REFUSAL_LIMIT).await;
     });
 }
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -61,7 +61,7 @@
 /// Why an announcement was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum AnnounceError {
+pub enum RegistrationError {
     /// The configuration in force has no such service.
     NoService(ServiceName),
     /// The service does not permit the address.
@@ -79,26 +79,28 @@
     Stale,
 }
 
-impl std::fmt::Display for AnnounceError {
+impl std::fmt::Display for RegistrationError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            AnnounceError::NoService(service) => write!(f, "service/{service} does not exist"),
-            AnnounceError::NotPermitted(address) => {
+            RegistrationError::NoService(service) => write!(f, "service/{service} does not exist"),
+            RegistrationError::NotPermitted(address) => {
                 write!(f, "the service does not permit a target at {address}")
             }
-            AnnounceError::Slots { announced, allowed } => {
+            RegistrationError::Slots { announced, allowed } => {
                 write!(
                     f,
                     "slots = {announced} is not allowed; allowed: 1 to {allowed}"
                 )
             }
-            AnnounceError::Stale => write!(f, "a later announcement was taken before"),
-            AnnounceError::Full => write!(f, "a node vouches for at most {MAX_TARGETS} targets"),
+            RegistrationError::Stale => write!(f, "a later announcement was taken before"),
+            RegistrationError::Full => {
+                write!(f, "a node vouches for at most {MAX_TARGETS} targets")
+            }
         }
     }
 }
 
-impl std::error::Error for AnnounceError {}
+impl std::error::Error for RegistrationError {}
 
 /// A target beside this node.
 #[derive(Debug)]
@@ -173,17 +175,17 @@
 ///
 /// # Errors
 ///
-/// [`AnnounceError`] says what is not allowed.
-pub async fn announce(
+/// [`RegistrationError`] says what is not allowed.
+pub async fn register(
     node: &NodeHandle,
     announcement: &TargetAnnouncement,
-) -> Result<(), AnnounceError> {
+) -> Result<(), RegistrationError> {
     let now = node.clock.now();
     check_announcement(node, announcement)?;
     if let Some(statement) = announcement.statement()
         && !lock(&node.announces).accept(statement)
     {
-        return Err(AnnounceError::Stale);
+        return Err(RegistrationError::Stale);
     }
     let expires = now + node.settings.tuning.announce_ttl;
     let target = enter_target(node, announcement, expires)?;
@@ -198,18 +200,18 @@
 fn check_announcement(
     node: &NodeState,
     announcement: &TargetAnnouncement,
-) -> Result<(), AnnounceError> {
+) -> Result<(), RegistrationError> {
     let view = node.view.load();
     let Some(service) = view.config.services.get(&announcement.service) else {
-        return Err(AnnounceError::NoService(announcement.service.clone()));
+        return Err(RegistrationError::NoService(announcement.service.clone()));
     };
     let address = announcement.address;
     if !service.spec.permits(address.ip()) {
-        return Err(AnnounceError::NotPermitted(address));
+        return Err(RegistrationError::NotPermitted(address));
     }
     let allowed = service.spec.effective_max_slots();
     if !(SlotCount(1)..=allowed).contains(&announcement.slots) {
-        return Err(AnnounceError::Slots {
+        return Err(RegistrationError::Slots {
             announced: announcement.slots,
             allowed,
         });
@@ -221,7 +223,7 @@
     node: &NodeState,
     announcement: &TargetAnnouncement,
     expires: Instant,
-) -> Result<Arc<LocalTarget>, AnnounceError> {
+) -> Result<Arc<LocalTarget>, RegistrationError> {
     let mut targets = lock(&node.targets.targets);
     if let Some(held) = targets.get(&announcement.service)
         && held.address == announcement.address
@@ -232,7 +234,7 @@
     }
     // What served at this address before is gone: its connections and its
     // queue must not be taken for those of the newcomer.
-    node.target_pool.forget(announcement.address);
+    node.target_pool.close_idle(announcement.address);
     targets.retain(|service, held| {
         let is_kept = held.address != announcement.address && *service != announcement.service;
         if !is_kept {
@@ -241,7 +243,7 @@
         is_kept
     });
     if targets.len() >= MAX_TARGETS && !targets.contains_key(&announcement.service) {
-        return Err(AnnounceError::Full);
+        return Err(RegistrationError::Full);
     }
     let target = Arc::new(LocalTarget {
         address: announcement.address,
@@ -285,7 +287,7 @@
 /// known; a target that this node never held has nothing to withdraw.
 /// `incarnation` names the life that ends, where the target says so: one that
 /// has started again since is not meant.
-pub async fn leave(
+pub async fn deregister(
     node: &NodeHandle,
     instance: &InstanceId,
     incarnation: Option<Incarnation>,
@@ -312,7 +314,7 @@
 /// Takes back what peers remember of targets that said to an earlier life of
 /// this node that they leave. One that was announced again since, by a late
 /// message, is withdrawn.
-pub async fn restore(node: &NodeHandle, departures: &[TargetDeparture]) {
+pub async fn restore_departures(node: &NodeHandle, departures: &[TargetDeparture]) {
     if !lock(&node.announces).restore(departures) {
         return;
     }
--- a/wisteriaturnd/src/http/body.rs
+++ b/wisteriaturnd/src/http/body.rs
@@ -45,7 +45,7 @@
 
 /// A request body: whole when it is small, else a prefix and the rest.
 #[derive(Debug)]
-pub enum RequestBody {
+pub enum BufferedBody {
     /// All bytes; the request can be sent again.
     Whole(Bytes),
     /// The first bytes and the rest; the request can be sent once.
@@ -57,7 +57,7 @@
     },
 }
 
-impl RequestBody {
+impl BufferedBody {
     /// Reads up to `limit` bytes.
     ///
     /// # Errors
@@ -67,31 +67,31 @@
         let mut read = BytesMut::new();
         while read.len() <= limit {
             let Some(frame) = body.frame().await else {
-                return Ok(RequestBody::Whole(read.freeze()));
+                return Ok(BufferedBody::Whole(read.freeze()));
             };
             if let Ok(data) = frame?.into_data() {
                 read.extend_from_slice(&data);
             }
         }
-        Ok(RequestBody::Stream {
+        Ok(BufferedBody::Stream {
             prefix: read.freeze(),
             rest: Some(body),
         })
     }
 
     /// Returns the first bytes, from which a fingerprint is made.
-    pub fn head(&self) -> &Bytes {
+    pub fn prefix(&self) -> &Bytes {
         match self {
-            RequestBody::Whole(bytes) => bytes,
-            RequestBody::Stream { prefix, .. } => prefix,
+            BufferedBody::Whole(bytes) => bytes,
+            BufferedBody::Stream { prefix, .. } => prefix,
         }
     }
 
     /// Returns a body for the next attempt, or nothing when it was sent.
-    pub fn for_attempt(&mut self) -> Option<NodeBody> {
+    pub fn take_for_attempt(&mut self) -> Option<NodeBody> {
         match self {
-            RequestBody::Whole(bytes) => Some(full(bytes.clone())),
-            RequestBody::Stream { prefix, rest } => {
+            BufferedBody::Whole(bytes) => Some(full(bytes.clone())),
+            BufferedBody::Stream { prefix, rest } => {
                 let rest = rest.take()?;
                 Some(boxed(PrefixedBody {
                     prefix: Some(std::mem::take(prefix)),
@@ -102,8 +102,8 @@
     }
 
     /// Tells whether another attempt can be made.
-    pub fn is_repeatable(&self) -> bool {
-        matches!(self, RequestBody::Whole(_))
+    pub fn is_replayable(&self) -> bool {
+        matches!(self, BufferedBody::Whole(_))
     }
 }
 
@@ -149,7 +149,7 @@
 }
 
 /// Returns `inner`, which fails after `limit` without progress.
-pub fn stalling(inner: NodeBody, limit: Duration) -> NodeBody {
+pub fn with_stall_timeout(inner: NodeBody, limit: Duration) -> NodeBody {
     boxed(StallBody {
         inner,
         limit,
@@ -243,7 +243,7 @@
 }
 
 /// A body that tells its end once, and holds what must live until then.
-pub struct GuardedBody<F>
+pub struct OnEndBody<F>
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
 {
@@ -251,7 +251,7 @@
     on_end: Option<F>,
 }
 
-impl<F> GuardedBody<F>
+impl<F> OnEndBody<F>
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
 {
@@ -270,16 +270,16 @@
     }
 }
 
-impl<F> std::fmt::Debug for GuardedBody<F>
+impl<F> std::fmt::Debug for OnEndBody<F>
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
 {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("GuardedBody").finish_non_exhaustive()
+        f.debug_struct("OnEndBody").finish_non_exhaustive()
     }
 }
 
-impl<F> Body for GuardedBody<F>
+impl<F> Body for OnEndBody<F>
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
 {
@@ -309,7 +309,7 @@
     }
 }
 
-impl<F> Drop for GuardedBody<F>
+impl<F> Drop for OnEndBody<F>
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
 {
--- a/wisteriaturnd/src/http/exchange.rs
+++ b/wisteriaturnd/src/http/exchange.rs
@@ -6,8 +6,8 @@
 use hyper::{Request, Response};
 
 use crate::error::LinkError;
-use crate::http::body::{BodyEnd, GuardedBody, NodeBody, boxed, stalling};
-use crate::http::pool::{LinkPool, PooledLink};
+use crate::http::body::{BodyEnd, NodeBody, OnEndBody, boxed, with_stall_timeout};
+use crate::http::pool::{ConnectionPool, PooledConnection};
 
 /// How an exchange failed.
 #[derive(Debug)]
@@ -25,12 +25,12 @@
 ///
 /// [`ExchangeError`] tells whether anything can have been sent.
 pub async fn send(
-    link: &mut PooledLink,
+    link: &mut PooledConnection,
     request: Request<NodeBody>,
 ) -> Result<Response<Incoming>, ExchangeError> {
     match link.sender.try_send_request(request).await {
         Ok(response) => {
-            link.note_keep_alive(response.headers());
+            link.apply_keep_alive(response.headers());
             Ok(response)
         }
         Err(mut error) => match error.take_message() {
@@ -46,8 +46,8 @@
 /// gives its connection back to the pool at its end and calls `on_end`.
 pub fn pooled_body<F>(
     incoming: Incoming,
-    link: PooledLink,
-    pool: &LinkPool,
+    link: PooledConnection,
+    pool: &ConnectionPool,
     stall: Duration,
     on_end: F,
 ) -> NodeBody
@@ -56,8 +56,8 @@
 {
     let pool = pool.clone();
     let mut link = Some(link);
-    boxed(GuardedBody::new(
-        stalling(boxed(incoming), stall),
+    boxed(OnEndBody::new(
+        with_stall_timeout(boxed(incoming), stall),
         move |end| {
             if let (BodyEnd::Whole, Some(link)) = (end, link.take()) {
                 give_back_when_ready(pool, link);
@@ -69,14 +69,14 @@
 
 /// Waits for the connection to finish its exchange before the pool has it: the
 /// last byte of a body comes a moment before the connection is ready again.
-fn give_back_when_ready(pool: LinkPool, mut link: PooledLink) {
+fn give_back_when_ready(pool: ConnectionPool, mut link: PooledConnection) {
     if link.sender.is_ready() {
-        pool.give_back(link);
+        pool.release(link);
         return;
     }
     tokio::spawn(async move {
         if link.sender.ready().await.is_ok() {
-            pool.give_back(link);
+            pool.release(link);
         }
     });
 }
--- a/wisteriaturnd/src/http/headers.rs
+++ b/wisteriaturnd/src/http/headers.rs
@@ -31,7 +31,7 @@
 /// Fingerprint of a request; between nodes.
 pub const FINGERPRINT: HeaderName = HeaderName::from_static("wisteriaturn-fingerprint");
 /// Asks about a call instead of making one; between nodes.
-pub const ASK: HeaderName = HeaderName::from_static("wisteriaturn-ask");
+pub const INQUIRY: HeaderName = HeaderName::from_static("wisteriaturn-ask");
 /// Calls that a gate has running or waiting; between nodes.
 pub const BUSY: HeaderName = HeaderName::from_static("wisteriaturn-busy");
 /// Says that an attempt must not be made again anywhere; between nodes.
@@ -44,20 +44,20 @@
 /// Route of a call; between nodes.
 pub const ROUTE: HeaderName = HeaderName::from_static("wisteriaturn-route");
 /// Time left within which an answer is worth most, in milliseconds; between nodes.
-pub const AIM_MS: HeaderName = HeaderName::from_static("wisteriaturn-aim-ms");
+pub const LATENCY_TARGET_MS: HeaderName = HeaderName::from_static("wisteriaturn-aim-ms");
 /// Longest wait for a slot that is better than going elsewhere, in milliseconds;
 /// between nodes. Without it a call waits as long as it can.
-pub const PATIENCE_MS: HeaderName = HeaderName::from_static("wisteriaturn-patience-ms");
+pub const MAX_WAIT_MS: HeaderName = HeaderName::from_static("wisteriaturn-patience-ms");
 /// Mean time that a gate's target takes for calls of the route, in microseconds;
 /// between nodes.
 pub const MEAN_RUN_US: HeaderName = HeaderName::from_static("wisteriaturn-mean-run-us");
 /// Time after which a gate expects room, in milliseconds; between nodes.
-pub const ROOM_MS: HeaderName = HeaderName::from_static("wisteriaturn-room-ms");
+pub const EXPECTED_WAIT_MS: HeaderName = HeaderName::from_static("wisteriaturn-room-ms");
 
 /// The headers that callers and targets know, which differ between the places
 /// that a node runs in. What nodes tell each other has names of its own.
 #[derive(Debug, Clone)]
-pub struct EdgeNames {
+pub struct EdgeHeaders {
     /// Time that is left for a call, in milliseconds.
     pub deadline_ms: HeaderName,
     /// The caller's name for its attempt, which targets repeat.
@@ -69,28 +69,28 @@
     /// Says that a target did not run a call.
     pub not_run: HeaderName,
     /// Stands on every success of a target, where targets sign theirs.
-    pub answer_proof: Option<HeaderName>,
+    pub response_stamp: Option<HeaderName>,
     /// Whether callers read a `Retry-After` with a fraction.
-    pub has_fractional_retry: bool,
+    pub has_fractional_retry_after: bool,
 }
 
-impl EdgeNames {
+impl EdgeHeaders {
     /// Returns the names of the product's own interface.
-    pub fn own() -> Self {
+    pub fn standard() -> Self {
         Self {
             deadline_ms: DEADLINE_MS,
             request_id: HeaderName::from_static("wisteriaturn-request-id"),
             expected_instance: HeaderName::from_static("wisteriaturn-expected-instance"),
             caller_service: HeaderName::from_static("wisteriaturn-caller-service"),
             not_run: HeaderName::from_static("wisteriaturn-not-run"),
-            answer_proof: None,
-            has_fractional_retry: false,
+            response_stamp: None,
+            has_fractional_retry_after: false,
         }
     }
 }
 
 /// Longest idempotency key in bytes.
-pub const KEY_LIMIT: usize = 256;
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
 /// Headers of one connection (RFC 9110, 7.6.1), which must not be passed on.
 const HOP_BY_HOP: [&str; 8] = [
@@ -150,7 +150,7 @@
 }
 
 /// Returns the time that is left for a call, by a header of that name.
-pub fn deadline(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
+pub fn parsed_millis(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
     parsed::<u64>(headers, name).map(Duration::from_millis)
 }
 
--- a/wisteriaturnd/src/http/listener.rs
+++ b/wisteriaturnd/src/http/listener.rs
@@ -41,13 +41,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PortLimits {
     /// Connections that are open at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Cause under which connections beyond that are counted.
     pub drop_cause: &'static str,
     /// Bytes that a connection buffers for the head of a request.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Most headers of a request.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Whether callers connect here, for whom the configuration has limits.
     pub is_for_callers: bool,
 }
@@ -56,7 +56,7 @@
     /// Returns the time until the head of a request must be there, which counts
     /// from the end of the one before: a caller's connection may stay idle for
     /// as long as the configuration allows.
-    fn head_time(&self, node: &NodeHandle) -> Duration {
+    fn head_timeout(&self, node: &NodeHandle) -> Duration {
         if !self.is_for_callers {
             return HEAD_TIME;
         }
@@ -77,7 +77,7 @@
     F: Fn(NodeHandle, TcpStream) -> T,
     T: Future<Output = ()> + Send + 'static,
 {
-    let connections = Arc::new(Semaphore::new(limits.connections));
+    let connections = Arc::new(Semaphore::new(limits.max_connections));
     let mut stage = node.stage.subscribe();
     loop {
         let accepted = tokio::select! {
@@ -135,9 +135,9 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.head_time(node))
-        .max_headers(limits.headers)
-        .max_buf_size(limits.head_bytes)
+        .header_read_timeout(limits.head_timeout(node))
+        .max_headers(limits.max_headers)
+        .max_buf_size(limits.max_head_bytes)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
--- a/wisteriaturnd/src/http/mod.rs
+++ b/wisteriaturnd/src/http/mod.rs
@@ -5,4 +5,4 @@
 pub mod headers;
 pub mod listener;
 pub mod pool;
-pub mod silence;
+pub mod tcp_timeout;
--- a/wisteriaturnd/src/http/pool.rs
+++ b/wisteriaturnd/src/http/pool.rs
@@ -24,16 +24,16 @@
 use crate::error::LinkError;
 use crate::http::body::NodeBody;
 use crate::http::headers;
-use crate::http::silence;
+use crate::http::tcp_timeout;
 use crate::mesh::handshake::{self, PortUse};
 use crate::node::AddressMap;
 
 /// Time for a connection to open. A node in another region is 8 ms away; what
 /// takes longer than this is overloaded or cut off.
-pub const CONNECT_TIME: Duration = Duration::from_millis(250);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long an idle connection is kept.
-pub const IDLE_TIME: Duration = Duration::from_secs(30);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How much sooner than the other side an idle connection is given up.
 const KEEP_MARGIN: Duration = Duration::from_secs(1);
@@ -42,28 +42,28 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Idle connections kept to one address.
-pub const IDLE_LIMIT: usize = 64;
+pub const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// Largest head of an answer that a connection reads, in bytes.
 const HEAD_LIMIT: usize = 64 * 1024;
 
 /// A connection that is ready for one exchange.
 #[derive(Debug)]
-pub struct PooledLink {
+pub struct PooledConnection {
     /// Sends the request.
     pub sender: SendRequest<NodeBody>,
     /// Life of the node on the other side; 0 for a target.
-    pub life: BootId,
+    pub boot_id: BootId,
     /// Whether the connection served an exchange before.
     pub is_reused: bool,
     address: SocketAddr,
     keep: Duration,
 }
 
-impl PooledLink {
+impl PooledConnection {
     /// Takes note of how long the other side keeps the connection open while
     /// it is idle (`Keep-Alive: timeout=N`).
-    pub fn note_keep_alive(&mut self, headers: &HeaderMap) {
+    pub fn apply_keep_alive(&mut self, headers: &HeaderMap) {
         let named = headers::text(headers, &KEEP_ALIVE).and_then(|text| {
             text.split(',')
                 .find_map(|part| part.trim().strip_prefix("timeout="))
@@ -72,20 +72,20 @@
         if let Some(seconds) = named {
             // A request must arrive before the other side closes.
             let keep = Duration::from_secs(seconds).saturating_sub(KEEP_MARGIN);
-            self.keep = keep.min(IDLE_TIME);
+            self.keep = keep.min(IDLE_TIMEOUT);
         }
     }
 }
 
 #[derive(Debug)]
-struct IdleLink {
+struct IdleConnection {
     sender: SendRequest<NodeBody>,
-    life: BootId,
+    boot_id: BootId,
     keep: Duration,
     since: Instant,
 }
 
-impl IdleLink {
+impl IdleConnection {
     fn is_fresh(&self, now: Instant) -> bool {
         now.duration_since(self.since) < self.keep
     }
@@ -93,17 +93,17 @@
 
 /// Connections by address; a cheap handle.
 #[derive(Debug, Clone)]
-pub struct LinkPool {
-    idle: Arc<Mutex<HashMap<SocketAddr, Vec<IdleLink>>>>,
+pub struct ConnectionPool {
+    idle: Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>,
     keys: Option<MeshKeys>,
     addresses: AddressMap,
     is_probed: bool,
     clock: SharedClock,
 }
 
-impl LinkPool {
+impl ConnectionPool {
     /// Returns a pool of connections to the hop ports of nodes.
-    pub fn to_nodes(keys: MeshKeys, addresses: AddressMap, clock: SharedClock) -> Self {
+    pub fn for_nodes(keys: MeshKeys, addresses: AddressMap, clock: SharedClock) -> Self {
         Self {
             idle: Arc::default(),
             keys: Some(keys),
@@ -114,7 +114,7 @@
     }
 
     /// Returns a pool of connections to targets.
-    pub fn to_targets(clock: SharedClock) -> Self {
+    pub fn for_targets(clock: SharedClock) -> Self {
         Self {
             idle: Arc::default(),
             keys: None,
@@ -126,10 +126,10 @@
 
     /// Returns a pool of connections to a store that may hold an answer back
     /// until there is something to tell.
-    pub fn to_store(clock: SharedClock) -> Self {
+    pub fn for_store(clock: SharedClock) -> Self {
         Self {
             is_probed: true,
-            ..Self::to_targets(clock)
+            ..Self::for_targets(clock)
         }
     }
 
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// [`LinkError`] when none can be opened; nothing of a call was sent.
-    pub async fn take(&self, address: SocketAddr) -> Result<PooledLink, LinkError> {
+    pub async fn acquire(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
         if let Some(link) = self.take_idle(address) {
             return Ok(link);
         }
@@ -149,21 +149,21 @@
     ///
     /// # Errors
     ///
-    /// As [`Self::take`].
-    pub async fn open(&self, address: SocketAddr) -> Result<PooledLink, LinkError> {
-        timeout(CONNECT_TIME, self.open_now(address)).await?
+    /// As [`Self::acquire`].
+    pub async fn open(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
+        timeout(CONNECT_TIMEOUT, self.open_now(address)).await?
     }
 
-    async fn open_now(&self, address: SocketAddr) -> Result<PooledLink, LinkError> {
+    async fn open_now(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
         let mut stream = TcpStream::connect(self.addresses.map(address))
             .await
             .map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
-        silence::limit_silence(&stream).map_err(unreachable)?;
+        tcp_timeout::set_user_timeout(&stream).map_err(unreachable)?;
         if self.is_probed {
-            silence::probe_idle(&stream).map_err(unreachable)?;
+            tcp_timeout::enable_keepalive(&stream).map_err(unreachable)?;
         }
-        let life = match &self.keys {
+        let boot_id = match &self.keys {
             Some(keys) => handshake::connect(&mut stream, keys, PortUse::Hop).await?,
             None => BootId(0),
         };
@@ -176,24 +176,24 @@
         tokio::spawn(async move {
             let _ = connection.await;
         });
-        Ok(PooledLink {
+        Ok(PooledConnection {
             sender,
-            life,
+            boot_id,
             is_reused: false,
             address,
-            keep: IDLE_TIME,
+            keep: IDLE_TIMEOUT,
         })
     }
 
-    fn take_idle(&self, address: SocketAddr) -> Option<PooledLink> {
+    fn take_idle(&self, address: SocketAddr) -> Option<PooledConnection> {
         let now = self.clock.now();
         let mut idle = lock(&self.idle);
         let links = idle.get_mut(&address)?;
         while let Some(link) = links.pop() {
             if link.is_fresh(now) && link.sender.is_ready() {
-                return Some(PooledLink {
+                return Some(PooledConnection {
                     sender: link.sender,
-                    life: link.life,
+                    boot_id: link.boot_id,
                     is_reused: true,
                     address,
                     keep: link.keep,
@@ -205,16 +205,16 @@
     }
 
     /// Gives a connection back after a whole exchange.
-    pub fn give_back(&self, link: PooledLink) {
+    pub fn release(&self, link: PooledConnection) {
         if link.sender.is_closed() {
             return;
         }
         let mut idle = lock(&self.idle);
         let links = idle.entry(link.address).or_default();
-        if links.len() < IDLE_LIMIT {
-            links.push(IdleLink {
+        if links.len() < MAX_IDLE_CONNECTIONS {
+            links.push(IdleConnection {
                 sender: link.sender,
-                life: link.life,
+                boot_id: link.boot_id,
                 keep: link.keep,
                 since: self.clock.now(),
             });
@@ -222,12 +222,12 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         lock(&self.idle).remove(&address);
     }
 
     /// Closes connections that were idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         lock(&self.idle).retain(|_, links| {
             links.retain(|link| link.is_fresh(now) && !link.sender.is_closed());
--- a/wisteriaturnd/src/http/silence.rs
+++ b/wisteriaturnd/src/http/tcp_timeout.rs
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// The error of the socket.
-pub fn limit_silence(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_user_timeout(stream: &TcpStream) -> std::io::Result<()> {
     SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME))
 }
 
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// The error of the socket.
-pub fn probe_idle(stream: &TcpStream) -> std::io::Result<()> {
+pub fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     let probes = TcpKeepalive::new()
         .with_time(PROBE_TIME)
         .with_interval(PROBE_TIME)
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -26,7 +26,7 @@
 
 use crate::gate::answer::{inquiry_response, refusal};
 use crate::gate::run;
-use crate::http::body::{GuardedBody, NodeBody, RequestBody, boxed, empty};
+use crate::http::body::{BufferedBody, NodeBody, OnEndBody, boxed, empty};
 use crate::http::headers;
 use crate::ingress::liveness::wait_until_unresponsive;
 use crate::ingress::selection::{ChosenTarget, choose_next_target};
@@ -78,7 +78,7 @@
     /// Head of the request, without headers of the connection or the mesh.
     pub parts: Parts,
     /// Body of the request.
-    pub body: RequestBody,
+    pub body: BufferedBody,
 }
 
 impl RoutedCall {
@@ -220,7 +220,7 @@
         && !end.is_final
         && count.tried.len() < ATTEMPT_LIMIT
         && count.reached < most
-        && call.body.is_repeatable()
+        && call.body.is_replayable()
         && call.deadline.allows_attempt(now)
         && standing == QuarantineStatus::Clean
 }
@@ -233,7 +233,7 @@
 ) -> AttemptEnd {
     let target = &place.target;
     let gate_call = gate_call(call, place.max_wait);
-    let body = call.body.for_attempt().unwrap_or_else(empty);
+    let body = call.body.take_for_attempt().unwrap_or_else(empty);
     let mut request = Request::new(body);
     *request.method_mut() = call.parts.method.clone();
     *request.uri_mut() = call.parts.uri.clone();
@@ -339,9 +339,9 @@
     }
     let (parts, body) = end.response.into_parts();
     let until = call.deadline.at().into();
-    let lost = match timeout_at(until, RequestBody::read(body, ANSWER_LIMIT)).await {
+    let lost = match timeout_at(until, BufferedBody::read(body, ANSWER_LIMIT)).await {
         Ok(Ok(mut read)) => {
-            let body = read.for_attempt().unwrap_or_else(empty);
+            let body = read.take_for_attempt().unwrap_or_else(empty);
             let response = Response::from_parts(parts, body);
             return AttemptEnd { response, ..end };
         }
@@ -363,10 +363,14 @@
     let report = GateReport {
         busy: headers::parsed(map, &headers::BUSY),
         mean_run: headers::parsed(map, &headers::MEAN_RUN_US).map(Duration::from_micros),
-        room_after: headers::parsed(map, &headers::ROOM_MS).map(Duration::from_millis),
+        room_after: headers::parsed(map, &headers::EXPECTED_WAIT_MS).map(Duration::from_millis),
     };
     let is_final = map.remove(headers::NO_RETRY).is_some();
-    for name in [headers::BUSY, headers::MEAN_RUN_US, headers::ROOM_MS] {
+    for name in [
+        headers::BUSY,
+        headers::MEAN_RUN_US,
+        headers::EXPECTED_WAIT_MS,
+    ] {
         map.remove(name);
     }
     AttemptEnd {
@@ -428,7 +432,7 @@
 }
 
 fn hold_until_end(body: NodeBody, guard: AttemptGuard) -> NodeBody {
-    boxed(GuardedBody::new(body, move |_| drop(guard)))
+    boxed(OnEndBody::new(body, move |_| drop(guard)))
 }
 
 /// Counts an attempt as under way until it is dropped. Dropped before the
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -20,7 +20,7 @@
 use wisteriaturn::route::limit::RoutePermit;
 
 use crate::gate::answer::refusal;
-use crate::http::body::{BodyEnd, CountedBody, GuardedBody, NodeBody, RequestBody, boxed};
+use crate::http::body::{BodyEnd, BufferedBody, CountedBody, NodeBody, OnEndBody, boxed};
 use crate::http::headers;
 use crate::ingress::attempt::{self, RoutedCall};
 use crate::logs::Clean;
@@ -115,7 +115,7 @@
     response.map(|body| {
         let bytes = Arc::clone(&record.bytes);
         let counted = CountedBody::new(body, bytes);
-        boxed(GuardedBody::new(boxed(counted), move |end| {
+        boxed(OnEndBody::new(boxed(counted), move |end| {
             drop(permit);
             record.finish(end);
         }))
@@ -184,7 +184,7 @@
         .limits
         .try_acquire(&route.spec.name, most)
         .ok_or(RefusalReason::RouteLimit)?;
-    let asked = headers::deadline(request.headers(), &node.edge.deadline_ms);
+    let asked = headers::parsed_millis(request.headers(), &node.edge.deadline_ms);
     let deadline = CallDeadline::for_call(&node.clock, route.spec.deadline(), asked);
     let call = read(node, view, Arc::clone(&route), deadline, request).await?;
     let response = attempt::run(node, call).await;
@@ -278,13 +278,13 @@
     let key = parts.headers.get(headers::IDEMPOTENCY_KEY).cloned();
     if key
         .as_ref()
-        .is_some_and(|key| key.len() > headers::KEY_LIMIT)
+        .is_some_and(|key| key.len() > headers::MAX_IDEMPOTENCY_KEY_BYTES)
     {
         return Err(RefusalReason::BadRequest);
     }
     let limit = node.settings.tuning.replay_bytes;
     let most = usize::try_from(body_bound(node, &view)).unwrap_or(usize::MAX);
-    let reading = RequestBody::read(boxed(Limited::new(body, most)), limit);
+    let reading = BufferedBody::read(boxed(Limited::new(body, most)), limit);
     let body = timeout_at(deadline.at().into(), reading)
         .await
         .map_err(|_| RefusalReason::Deadline)?
@@ -303,7 +303,7 @@
             // Not the host: callers may name the node they connect to.
             service.spec.name.as_str().as_bytes(),
             parts.uri.to_string().as_bytes(),
-            body.head(),
+            body.prefix(),
         ]),
     };
     let standing = lock(&node.suspects).status(fingerprint, node.clock.now());
--- a/wisteriaturnd/src/ingress/port.rs
+++ b/wisteriaturnd/src/ingress/port.rs
@@ -14,10 +14,10 @@
 /// Accepts callers until the node stops.
 pub async fn accept_task(node: NodeHandle, listener: TcpListener, tracker: TaskTracker) {
     let limits = PortLimits {
-        connections: node.settings.tuning.max_connections,
+        max_connections: node.settings.tuning.max_connections,
         drop_cause: "ingress-connections",
-        head_bytes: call::MAX_HEAD_BYTES,
-        headers: HEADER_LIMIT,
+        max_head_bytes: call::MAX_HEAD_BYTES,
+        max_headers: HEADER_LIMIT,
         is_for_callers: true,
     };
     accept_until_stopped(
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -27,7 +27,7 @@
 use crate::http::body::{NodeBody, empty};
 use crate::http::exchange::{self, ExchangeError, pooled_body};
 use crate::http::headers;
-use crate::http::pool::PooledLink;
+use crate::http::pool::PooledConnection;
 use crate::logs::Clean;
 use crate::mesh::peer_client;
 use crate::metrics::TrafficKind;
@@ -103,14 +103,14 @@
     headers::set(headers, headers::PRIORITY, call.priority);
     headers::set(
         headers,
-        headers::AIM_MS,
+        headers::LATENCY_TARGET_MS,
         call.aim.remaining(now).as_millis(),
     );
     if let Some(route) = &call.route {
         headers::set(headers, headers::ROUTE, route);
     }
     if call.patience < Duration::MAX {
-        headers::set(headers, headers::PATIENCE_MS, call.patience.as_millis());
+        headers::set(headers, headers::MAX_WAIT_MS, call.patience.as_millis());
     }
     headers::set(headers, headers::IDEMPOTENT, call.is_idempotent);
     headers::set(headers, headers::FINGERPRINT, call.fingerprint);
@@ -126,11 +126,11 @@
     write_call(request.headers_mut(), call, node.clock.now());
     let until = call.deadline.at().into();
     loop {
-        let link = match timeout_at(until, node.hop_pool.take(target.hop)).await {
+        let link = match timeout_at(until, node.hop_pool.acquire(target.hop)).await {
             Ok(Ok(link)) => link,
             Ok(Err(_)) | Err(_) => return HopResult::Unsent,
         };
-        let (life, is_reused) = (link.life, link.is_reused);
+        let (life, is_reused) = (link.boot_id, link.is_reused);
         match timeout_at(until, send_over(node, link, request)).await {
             Ok(Ok(response)) => {
                 node.note_heard();
@@ -145,7 +145,7 @@
 
 async fn send_over(
     node: &NodeHandle,
-    mut link: PooledLink,
+    mut link: PooledConnection,
     request: Request<NodeBody>,
 ) -> Result<Response<NodeBody>, ExchangeError> {
     let response = exchange::send(&mut link, request).await?;
@@ -212,10 +212,10 @@
 pub fn revoke_later(node: &NodeHandle, target: TargetEntry, call: GateCall) {
     let node = node.clone();
     tokio::spawn(async move {
-        let link = node.hop_pool.take(target.hop).await;
+        let link = node.hop_pool.acquire(target.hop).await;
         if let Ok(link) = link {
-            let life = link.life;
-            node.hop_pool.give_back(link);
+            let life = link.boot_id;
+            node.hop_pool.release(link);
             let _ = ask(&node, target.hop, ASK_REVOKE, call.call, life).await;
         }
     });
@@ -235,14 +235,14 @@
     life: BootId,
 ) -> Result<InquiryAnswer, LinkError> {
     let mut link = node.hop_pool.open(hop).await?;
-    if link.life != life {
+    if link.boot_id != life {
         return Ok(InquiryAnswer::Unknown);
     }
     let request = Request::builder()
         .method(Method::GET)
         .uri("/")
         .header(HOST, "gate")
-        .header(headers::ASK, question)
+        .header(headers::INQUIRY, question)
         .header(headers::CALL, call.to_string())
         .body(empty())
         .map_err(|error| LinkError::Lost(error.to_string()))?;
@@ -257,7 +257,7 @@
         .map_err(|error| LinkError::Lost(error.to_string()))?
         .to_bytes();
     let answer = decode(&body)?;
-    node.hop_pool.give_back(link);
+    node.hop_pool.release(link);
     Ok(answer)
 }
 
--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -18,7 +18,7 @@
 
 use crate::control::store::StoreStep;
 use crate::error::LinkError;
-use crate::http::pool::CONNECT_TIME;
+use crate::http::pool::CONNECT_TIMEOUT;
 use crate::mesh::gossip;
 use crate::mesh::handshake::{self, PortUse};
 use crate::metrics::TrafficKind;
@@ -53,9 +53,12 @@
     ///
     /// [`LinkError`] when the node cannot be reached or does not know the key.
     pub async fn open(node: &NodeState, peer: NodeAddress) -> Result<Self, LinkError> {
-        let mut stream = timeout(CONNECT_TIME, TcpStream::connect(node.addresses.map(peer)))
-            .await?
-            .map_err(|error| LinkError::Unreachable(error.to_string()))?;
+        let mut stream = timeout(
+            CONNECT_TIMEOUT,
+            TcpStream::connect(node.addresses.map(peer)),
+        )
+        .await?
+        .map_err(|error| LinkError::Unreachable(error.to_string()))?;
         stream
             .set_nodelay(true)
             .map_err(|error| LinkError::Unreachable(error.to_string()))?;
--- a/wisteriaturnd/src/mesh/prober.rs
+++ b/wisteriaturnd/src/mesh/prober.rs
@@ -77,8 +77,8 @@
             bury_overdue(&node).await;
         }
         lock(&node.table).remove_expired_tombstones(node.clock.now());
-        node.hop_pool.sweep();
-        node.target_pool.sweep();
+        node.hop_pool.close_expired();
+        node.target_pool.close_expired();
     }
 }
 
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -41,8 +41,8 @@
 use crate::control::source::SourceStanding;
 use crate::control::store::ConfigStore;
 use crate::gate::targets::LocalTargets;
-use crate::http::headers::EdgeNames;
-use crate::http::pool::LinkPool;
+use crate::http::headers::EdgeHeaders;
+use crate::http::pool::ConnectionPool;
 use crate::metrics::{NodeMetrics, TrafficKind, TrafficReach};
 use crate::settings::NodeSettings;
 
@@ -97,9 +97,9 @@
     /// Targets beside this node.
     pub targets: LocalTargets,
     /// Connections to other nodes' gates.
-    pub hop_pool: LinkPool,
+    pub hop_pool: ConnectionPool,
     /// Connections to the local targets.
-    pub target_pool: LinkPool,
+    pub target_pool: ConnectionPool,
     /// The platform's log.
     pub log: LogPort,
     /// Where whole configurations come from, if not from changes in the log.
@@ -107,7 +107,7 @@
     /// Where nodes find each other besides the seeds in the settings.
     pub directory: Option<DirectoryPort>,
     /// Names of the headers that callers and targets know.
-    pub edge: EdgeNames,
+    pub edge: EdgeHeaders,
     /// What the targets on this VM said of themselves.
     pub announces: Mutex<AnnouncementTracker>,
     /// Size of the answers of each route.
@@ -200,7 +200,7 @@
     log: LogPort,
     documents: Option<DocumentPort>,
     directory: Option<DirectoryPort>,
-    edge: EdgeNames,
+    edge: EdgeHeaders,
     addresses: AddressMap,
 }
 
@@ -213,7 +213,7 @@
             log,
             documents: None,
             directory: None,
-            edge: EdgeNames::own(),
+            edge: EdgeHeaders::standard(),
             addresses: AddressMap::identity(),
         }
     }
@@ -232,7 +232,7 @@
     }
 
     /// Speaks to callers and targets by the names in `edge`.
-    pub fn edge(mut self, edge: EdgeNames) -> Self {
+    pub fn edge(mut self, edge: EdgeHeaders) -> Self {
         self.edge = edge;
         self
     }
@@ -283,12 +283,12 @@
             limits: RouteLimiter::new(),
             ledger: CallLedger::new(Arc::clone(&clock)),
             targets: LocalTargets::new(),
-            hop_pool: LinkPool::to_nodes(
+            hop_pool: ConnectionPool::for_nodes(
                 settings.keys.clone(),
                 self.addresses.clone(),
                 Arc::clone(&clock),
             ),
-            target_pool: LinkPool::to_targets(Arc::clone(&clock)),
+            target_pool: ConnectionPool::for_targets(Arc::clone(&clock)),
             log: self.log,
             documents: self.documents,
             directory: self.directory,
--- a/wisteriaturnd/src/stream/client.rs
+++ b/wisteriaturnd/src/stream/client.rs
@@ -16,7 +16,7 @@
 
 use crate::http::body::full;
 use crate::http::exchange::{self, ExchangeError};
-use crate::http::pool::LinkPool;
+use crate::http::pool::ConnectionPool;
 
 /// Maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
@@ -26,7 +26,7 @@
 pub struct LogClient {
     address: SocketAddr,
     response_timeout: Duration,
-    pool: LinkPool,
+    pool: ConnectionPool,
 }
 
 impl LogClient {
@@ -38,7 +38,7 @@
         Self {
             address,
             response_timeout,
-            pool: LinkPool::to_store(clock),
+            pool: ConnectionPool::for_store(clock),
         }
     }
 
@@ -81,7 +81,7 @@
         loop {
             let mut link = self
                 .pool
-                .take(self.address)
+                .acquire(self.address)
                 .await
                 .map_err(|error| refused(error.to_string()))?;
             let response = match exchange::send(&mut link, request).await {
@@ -101,7 +101,7 @@
                 .await
                 .map_err(|error| indeterminate(error.to_string()))?
                 .to_bytes();
-            self.pool.give_back(link);
+            self.pool.release(link);
             return Ok((status, body));
         }
     }
--- a/wisteriaturnd/src/trial.rs
+++ b/wisteriaturnd/src/trial.rs
@@ -20,7 +20,7 @@
 use crate::control::start;
 use crate::http::body::{NodeBody, full};
 use crate::http::exchange::{self, ExchangeError};
-use crate::http::pool::LinkPool;
+use crate::http::pool::ConnectionPool;
 use crate::lifecycle::RunningNode;
 use crate::node::NodeBuilder;
 use crate::settings::NodeSettings;
@@ -66,7 +66,7 @@
     let builder = NodeBuilder::new(settings, Arc::new(SystemClock), memory_log());
     let running = RunningNode::start(builder).await?;
     start::wait_ready(&running.node).await;
-    let pool = LinkPool::to_targets(Arc::new(SystemClock));
+    let pool = ConnectionPool::for_targets(Arc::new(SystemClock));
     ask(&pool, admin, Method::POST, "/v1/changes", TRIAL_CHANGE).await?;
     let target = serve_target().await?;
     tokio::spawn(announce_task(pool.clone(), admin, target));
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-async fn announce_task(pool: LinkPool, admin: SocketAddr, target: SocketAddr) {
+async fn announce_task(pool: ConnectionPool, admin: SocketAddr, target: SocketAddr) {
     let announcement = format!(r#"{{"service":"hello","address":"{target}","slots":6}}"#);
     loop {
         let _ = ask(&pool, admin, Method::POST, "/v1/targets", &announcement).await;
@@ -118,7 +118,7 @@
 }
 
 async fn ask(
-    pool: &LinkPool,
+    pool: &ConnectionPool,
     address: SocketAddr,
     method: Method,
     path: &str,
@@ -129,7 +129,7 @@
         .uri(path)
         .header(hyper::header::HOST, address.to_string())
         .body(full(Bytes::copy_from_slice(body.as_bytes())))?;
-    let mut link = pool.take(address).await?;
+    let mut link = pool.acquire(address).await?;
     let response = match exchange::send(&mut link, request).await {
         Ok(response) => response,
         Err(ExchangeError::Unsent(_)) => return Err(eyre!("connection closed")),
