--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -23,10 +23,10 @@
 use wisteriaturn::config::resource::{Resource, ResourceKey, ResourceKind};
 use wisteriaturn::ids::{ChangeId, ConfigVersion, ServiceName};
 
-use crate::admin::change::{RawChange, RawExpectation, RawOperation, apply, find_report};
+use crate::admin::change::{RawChange, RawOperation, RawPrecondition, apply, find_report};
 use crate::admin::reply::{error_reply, json_reply, text_reply};
 use crate::admin::view;
-use crate::gate::targets::{self, AnnounceError, TargetAnnouncement};
+use crate::gate::targets::{self, RegistrationError, TargetAnnouncement};
 use crate::http::body::NodeBody;
 use crate::node::{NodeHandle, NodeStage};
 
@@ -224,17 +224,17 @@
 }
 
 /// Parses `If-Match: "revision"` and `If-None-Match: *` into a precondition.
-fn parse_precondition(headers: &HeaderMap) -> Result<Option<RawExpectation>, String> {
+fn parse_precondition(headers: &HeaderMap) -> Result<Option<RawPrecondition>, String> {
     if let Some(tag) = headers.get(IF_MATCH) {
         let text = tag.to_str().unwrap_or_default().trim_matches('"');
         let revision = text
             .parse()
             .map_err(|_| "If-Match must be a single quoted revision".to_owned())?;
-        return Ok(Some(RawExpectation::Revision(revision)));
+        return Ok(Some(RawPrecondition::Revision(revision)));
     }
     match headers.get(IF_NONE_MATCH).map(|tag| tag.as_bytes()) {
         None => Ok(None),
-        Some(b"*") => Ok(Some(RawExpectation::Word("absent".to_owned()))),
+        Some(b"*") => Ok(Some(RawPrecondition::Word("absent".to_owned()))),
         Some(_) => Err("If-None-Match must be *".to_owned()),
     }
 }
@@ -246,7 +246,7 @@
     kind: &str,
     name: &str,
     body: &Bytes,
-    expect: Option<RawExpectation>,
+    expect: Option<RawPrecondition>,
 ) -> Result<RawChange, String> {
     let kind: ResourceKind = kind.parse()?;
     let key = ResourceKey::new(kind, name);
@@ -307,13 +307,15 @@
 }
 
 async fn announce(node: &NodeHandle, announcement: &TargetAnnouncement) -> Response<NodeBody> {
-    match targets::announce(node, announcement).await {
+    match targets::register(node, announcement).await {
         Ok(()) => {
             let ttl = node.settings.tuning.announce_ttl.as_millis() as u64;
             json_reply(StatusCode::OK, &json!({ "ttl_ms": ttl }))
         }
-        Err(error @ AnnounceError::NoService(_)) => error_reply(StatusCode::CONFLICT, error),
-        Err(error @ AnnounceError::NotPermitted(_)) => error_reply(StatusCode::FORBIDDEN, error),
+        Err(error @ RegistrationError::NoService(_)) => error_reply(StatusCode::CONFLICT, error),
+        Err(error @ RegistrationError::NotPermitted(_)) => {
+            error_reply(StatusCode::FORBIDDEN, error)
+        }
         Err(error) => error_reply(StatusCode::UNPROCESSABLE_ENTITY, error),
     }
 }
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -20,7 +20,7 @@
 use wisteriaturn::route::limit::RoutePermit;
 
 use crate::gate::answer::refusal;
-use crate::http::body::{BodyEnd, CountedBody, GuardedBody, NodeBody, RequestBody, boxed};
+use crate::http::body::{BodyEnd, BufferedBody, CountedBody, NodeBody, OnEndBody, boxed};
 use crate::http::headers;
 use crate::ingress::attempt::{self, RoutedCall};
 use crate::logs::Clean;
@@ -28,7 +28,7 @@
 use crate::node::{NodeHandle, NodeStage};
 
 /// Largest head of a request in bytes.
-pub const HEAD_LIMIT: usize = 64 * 1024;
+pub const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// When a caller may come again whose call met no target at all.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -115,7 +115,7 @@
     response.map(|body| {
         let bytes = Arc::clone(&record.bytes);
         let counted = CountedBody::new(body, bytes);
-        boxed(GuardedBody::new(boxed(counted), move |end| {
+        boxed(OnEndBody::new(boxed(counted), move |end| {
             drop(permit);
             record.finish(end);
         }))
@@ -147,7 +147,7 @@
 
 /// Tells whether a request may be started early: whether its route is known and
 /// its calls are idempotent.
-pub fn is_repeatable<B>(node: &NodeHandle, request: &Request<B>) -> bool {
+pub fn may_start_early<B>(node: &NodeHandle, request: &Request<B>) -> bool {
     let view = node.view.load();
     let Some(host) = host_of(request) else {
         return false;
@@ -184,7 +184,7 @@
         .limits
         .try_acquire(&route.spec.name, most)
         .ok_or(RefusalReason::RouteLimit)?;
-    let asked = headers::deadline(request.headers(), &node.edge.deadline_ms);
+    let asked = headers::parsed_millis(request.headers(), &node.edge.deadline_ms);
     let deadline = CallDeadline::for_call(&node.clock, route.spec.deadline(), asked);
     let call = read(node, view, Arc::clone(&route), deadline, request).await?;
     let response = attempt::run(node, call).await;
@@ -205,12 +205,16 @@
     let map = request.headers();
     let has_both = map.contains_key(CONTENT_LENGTH) && map.contains_key(TRANSFER_ENCODING);
     let is_large = request.body().size_hint().lower() > body_bound(node, view);
-    let most_head = view.config.limits.as_ref().map_or(HEAD_LIMIT, |limits| {
-        usize::try_from(limits.max_head_bytes).unwrap_or(HEAD_LIMIT)
-    });
+    let most_head = view
+        .config
+        .limits
+        .as_ref()
+        .map_or(MAX_HEAD_BYTES, |limits| {
+            usize::try_from(limits.max_head_bytes).unwrap_or(MAX_HEAD_BYTES)
+        });
     if has_both
         || is_large
-        || head_bytes(request) > most_head.min(HEAD_LIMIT)
+        || head_bytes(request) > most_head.min(MAX_HEAD_BYTES)
         || map.get_all(HOST).iter().count() > 1
     {
         return Err(RefusalReason::BadRequest);
@@ -274,19 +278,20 @@
     let key = parts.headers.get(headers::IDEMPOTENCY_KEY).cloned();
     if key
         .as_ref()
-        .is_some_and(|key| key.len() > headers::KEY_LIMIT)
+        .is_some_and(|key| key.len() > headers::MAX_IDEMPOTENCY_KEY_BYTES)
     {
         return Err(RefusalReason::BadRequest);
     }
     let limit = node.settings.tuning.replay_bytes;
     let most = usize::try_from(body_bound(node, &view)).unwrap_or(usize::MAX);
-    let reading = RequestBody::read(boxed(Limited::new(body, most)), limit);
+    let reading = BufferedBody::read(boxed(Limited::new(body, most)), limit);
     let body = timeout_at(deadline.at().into(), reading)
         .await
         .map_err(|_| RefusalReason::Deadline)?
         .map_err(|_| RefusalReason::BadRequest)?;
     let aim = route.spec.target_latency().saturating_sub(CALLER_TRIP);
-    let aim = CallDeadline::for_call(&node.clock, aim, Some(deadline.remaining(node.clock.now())));
+    let soft_deadline =
+        CallDeadline::for_call(&node.clock, aim, Some(deadline.remaining(node.clock.now())));
     let service = choose_service(&route);
     let fingerprint = match key.as_ref().filter(|_| !is_idempotent) {
         Some(key) => {
@@ -298,7 +303,7 @@
             // Not the host: callers may name the node they connect to.
             service.spec.name.as_str().as_bytes(),
             parts.uri.to_string().as_bytes(),
-            body.head(),
+            body.prefix(),
         ]),
     };
     let standing = lock(&node.suspects).status(fingerprint, node.clock.now());
@@ -310,7 +315,7 @@
         route,
         service,
         request_id,
-        aim,
+        soft_deadline,
         deadline,
         is_idempotent,
         has_key: key.is_some(),
