--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -14,7 +14,7 @@
 };
 use wisteriaturnd::admin;
 use wisteriaturnd::error::SettingsError;
-use wisteriaturnd::logs::Clean;
+use wisteriaturnd::logs::Sanitized;
 use wisteriaturnd::mesh::handshake::{self, PortUse};
 use wisteriaturnd::settings::NodeSettings;
 use wisteriaturnd::trial::TRIAL_SETTINGS;
@@ -75,7 +75,7 @@
 
     #[test]
     fn a_value_cannot_forge_a_log_line(text in ".{0,300}") {
-        let clean = Clean(&text).to_string();
+        let clean = Sanitized(&text).to_string();
         prop_assert!(!clean.chars().any(char::is_control));
         prop_assert!(!clean.is_empty());
     }
--- a/wisteriaturnd/src/admin/view.rs
+++ b/wisteriaturnd/src/admin/view.rs
@@ -58,8 +58,8 @@
     };
     let report = json!({
         "node": node.address(),
-        "region": node.place.region,
-        "data_centre": node.place.data_centre,
+        "region": node.location.region,
+        "data_centre": node.location.data_centre,
         "stage": format!("{:?}", node.current_stage()).to_lowercase(),
         "version": view.config.version,
         "services": view.config.services.len(),
@@ -170,7 +170,7 @@
             // real calls use.
             let mut load = lock(&node.load.service(name)).clone();
             let choice = choose_target(
-                &node.place,
+                &node.location,
                 &targets,
                 &service.policy,
                 &mut load,
@@ -205,7 +205,7 @@
 /// laggards.
 pub async fn convergence(node: &NodeHandle, version: ConfigVersion) -> Response<NodeBody> {
     let mut queries = tokio::task::JoinSet::new();
-    for (data_centre, relays) in node.far_relays() {
+    for (data_centre, relays) in node.remote_relays() {
         let node = node.clone();
         queries.spawn(async move { query_data_centre(&node, data_centre, relays, version).await });
     }
--- a/wisteriaturnd/src/claims/keeper.rs
+++ b/wisteriaturnd/src/claims/keeper.rs
@@ -80,7 +80,7 @@
             reply,
         };
         if queue.try_send(queued).is_err() {
-            node.metrics.note_drop("claim-queue-full");
+            node.metrics.count_drop("claim-queue-full");
             return refused();
         }
         verdicts.await.unwrap_or_else(|_| refused())
@@ -291,7 +291,7 @@
         if self.fold().len() + items <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
-        self.node.metrics.note_drop("claim-keys-over-limit");
+        self.node.metrics.count_drop("claim-keys-over-limit");
         Err(LogError::Refused("too many live keys".to_owned()))
     }
 }
--- a/wisteriaturnd/src/control/documents.rs
+++ b/wisteriaturnd/src/control/documents.rs
@@ -75,7 +75,7 @@
             Ok(batch) => {
                 let is_news = batch.newest.is_some();
                 reader.take(&node, batch);
-                *lock(&node.source.answered) = Some(node.clock.now());
+                *lock(&node.source.answered_at) = Some(node.clock.now());
                 if is_news {
                     give_sign(&node).await;
                     tokio::time::sleep(jittered(GATHER_TIME)).await;
@@ -114,10 +114,10 @@
         if let Some(document) = batch.newest {
             let version = document.version;
             adopt(node, document);
-            node.source.version.send_replace(Some(version));
+            node.source.newest_version.send_replace(Some(version));
         }
         let version = lock(&node.store).version();
-        *lock(&node.source.mark) = self.position.map(|position| (version, position));
+        *lock(&node.source.read_position) = self.position.map(|position| (version, position));
     }
 
     async fn pause(&mut self, error: &LogError) {
@@ -170,7 +170,7 @@
 /// Returns where to go on reading, if all that was written before is held.
 fn known_position(node: &NodeHandle) -> Option<Offset> {
     let held = lock(&node.store).version();
-    let mark = *lock(&node.source.mark);
+    let mark = *lock(&node.source.read_position);
     mark.filter(|(version, _)| held >= *version)
         .map(|(_, position)| position)
 }
@@ -182,12 +182,12 @@
 
 fn hears_reader(node: &NodeHandle) -> bool {
     let now = node.clock.now();
-    let heard = *lock(&node.source.reader_heard);
+    let heard = *lock(&node.source.reader_heard_at);
     heard.is_some_and(|heard| now.saturating_duration_since(heard) < READER_TIMEOUT)
 }
 
 /// Gives signs of life to the members that this node reads for.
-pub async fn sign_task(node: NodeHandle) {
+pub async fn heartbeat_task(node: NodeHandle) {
     loop {
         tokio::time::sleep(READER_HEARTBEAT_INTERVAL).await;
         give_sign(&node).await;
@@ -196,7 +196,7 @@
 
 async fn give_sign(node: &NodeHandle) {
     let now = node.clock.now();
-    let is_proved = lock(&node.source.answered)
+    let is_proved = lock(&node.source.answered_at)
         .is_some_and(|when| now.saturating_duration_since(when) < PROOF_TIME);
     if !is_proved || !is_reader(node) {
         return;
@@ -217,29 +217,34 @@
 
 /// Takes a sign of life of the member that reads for this node, and pulls what
 /// it has newer.
-pub fn note_sign(node: &NodeHandle, from: SocketAddr, version: ConfigVersion, position: Offset) {
-    *lock(&node.source.reader_heard) = Some(node.clock.now());
+pub fn handle_heartbeat(
+    node: &NodeHandle,
+    from: SocketAddr,
+    version: ConfigVersion,
+    position: Offset,
+) {
+    *lock(&node.source.reader_heard_at) = Some(node.clock.now());
     {
-        let mut mark = lock(&node.source.mark);
+        let mut mark = lock(&node.source.read_position);
         if mark.is_none_or(|(held, at)| (held, at) <= (version, position)) {
             *mark = Some((version, position));
         }
     }
     if version > lock(&node.store).version() {
-        node.note_awaited(version);
+        node.record_missing_version(version);
         peer_client::spawn_pull(node, from);
     }
 }
 
 /// Waits until the source was read or some time has passed.
-pub async fn wait_source(node: &NodeHandle, wait: Duration) {
-    let mut version = node.source.version.subscribe();
+pub async fn wait_for_source(node: &NodeHandle, wait: Duration) {
+    let mut version = node.source.newest_version.subscribe();
     // The sender lives in the node, so only the time can end this early.
     let _ = tokio::time::timeout(wait, version.wait_for(Option::is_some)).await;
 }
 
 /// Returns whether the source was read and at least `floor` is in force.
 pub fn is_current(node: &NodeHandle, floor: ConfigVersion) -> bool {
-    let has_read = node.source.version.borrow().is_some();
+    let has_read = node.source.newest_version.borrow().is_some();
     has_read && lock(&node.store).version() >= floor
 }
--- a/wisteriaturnd/src/control/follow.rs
+++ b/wisteriaturnd/src/control/follow.rs
@@ -10,7 +10,7 @@
 use wisteriaturn::log_port::ReadRequest;
 use wisteriaturn::member::role::snapshot_writer;
 
-use crate::control::store::StoreStep;
+use crate::control::store::FoldOutcome;
 use crate::mesh::gossip;
 use crate::node::{NodeHandle, NodeState};
 
@@ -86,7 +86,7 @@
     };
     for record in batch.records {
         let next = ConfigVersion(record.offset.0 + 1);
-        if let StoreStep::Folded(_) = gossip::fold_record(node, next, &record.data) {
+        if let FoldOutcome::Folded(_) = gossip::fold_record(node, next, &record.data) {
             gossip::push_record(node, next, &record.data).await;
         }
     }
--- a/wisteriaturnd/src/control/source.rs
+++ b/wisteriaturnd/src/control/source.rs
@@ -15,39 +15,44 @@
 
 /// Where a node stands in its source; each part has a lock of its own.
 #[derive(Debug)]
-pub struct SourceStanding {
+pub struct SourceState {
     /// Newest version that the source named, once it was read.
-    pub version: watch::Sender<Option<ConfigVersion>>,
+    pub newest_version: watch::Sender<Option<ConfigVersion>>,
     /// Whether this node reads the source at the moment.
     pub is_reading: AtomicBool,
     /// When the source last answered this node.
-    pub answered: Mutex<Option<Instant>>,
+    pub answered_at: Mutex<Option<Instant>>,
     /// When the member that reads the source for this node last said so.
-    pub reader_heard: Mutex<Option<Instant>>,
+    pub reader_heard_at: Mutex<Option<Instant>>,
     /// How far the source was read, by this node or its reader: the version that
     /// was in force then, and where reading goes on.
-    pub mark: Mutex<Option<(ConfigVersion, Offset)>>,
+    pub read_position: Mutex<Option<(ConfigVersion, Offset)>>,
     /// The pull of the configuration that is under way.
-    pub pulling: Mutex<PullLease>,
+    pub pull_lease: Mutex<PullLease>,
     awaited: Mutex<Option<(ConfigVersion, Instant)>>,
 }
 
-impl SourceStanding {
+impl SourceState {
     /// Returns the standing of a node that has read nothing.
     pub fn new() -> Self {
         Self {
-            version: watch::Sender::new(None),
+            newest_version: watch::Sender::new(None),
             is_reading: AtomicBool::new(false),
-            answered: Mutex::default(),
-            reader_heard: Mutex::default(),
-            mark: Mutex::default(),
-            pulling: Mutex::default(),
+            answered_at: Mutex::default(),
+            reader_heard_at: Mutex::default(),
+            read_position: Mutex::default(),
+            pull_lease: Mutex::default(),
             awaited: Mutex::default(),
         }
     }
 
     /// Notes that a peer holds a version, of a node that holds `held`.
-    pub fn note_awaited(&self, version: ConfigVersion, held: ConfigVersion, now: Instant) {
+    pub fn record_missing_version(
+        &self,
+        version: ConfigVersion,
+        held: ConfigVersion,
+        now: Instant,
+    ) {
         let mut awaited = lock(&self.awaited);
         if awaited.is_none_or(|(first, _)| first <= held) {
             *awaited = Some((version, now));
@@ -63,7 +68,7 @@
     }
 }
 
-impl Default for SourceStanding {
+impl Default for SourceState {
     fn default() -> Self {
         Self::new()
     }
--- a/wisteriaturnd/src/control/start.rs
+++ b/wisteriaturnd/src/control/start.rs
@@ -65,8 +65,8 @@
         }
         let jitter = rand::rng().random_range(0.5..1.5);
         let pause = backoff.mul_f64(jitter);
-        if node.documents.is_some() && node.source.version.borrow().is_none() {
-            documents::wait_source(&node, pause).await;
+        if node.documents.is_some() && node.source.newest_version.borrow().is_none() {
+            documents::wait_for_source(&node, pause).await;
         } else {
             tokio::time::sleep(pause).await;
         }
--- a/wisteriaturnd/src/control/store.rs
+++ b/wisteriaturnd/src/control/store.rs
@@ -15,11 +15,11 @@
 
 /// What folding a record did.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum StoreStep {
+pub enum FoldOutcome {
     /// The record was the next one.
     Folded(FoldVerdict),
     /// The record was folded before.
-    Known,
+    Duplicate,
     /// Records before this one are missing.
     Gap,
 }
@@ -56,19 +56,19 @@
     }
 
     /// Folds the record that leads to `version`.
-    pub fn fold(&mut self, version: ConfigVersion, record: &Bytes) -> StoreStep {
+    pub fn fold(&mut self, version: ConfigVersion, record: &Bytes) -> FoldOutcome {
         let held = self.state.version();
         if version <= held {
-            return StoreStep::Known;
+            return FoldOutcome::Duplicate;
         }
         if version.0 > held.0 + 1 {
-            return StoreStep::Gap;
+            return FoldOutcome::Gap;
         }
         let verdict = self.state.fold(record);
         self.tail.push(record.clone());
         check(Invariant::VersionRises, self.state.version() > held);
         self.rebuild(verdict == FoldVerdict::Accepted);
-        StoreStep::Folded(verdict)
+        FoldOutcome::Folded(verdict)
     }
 
     /// Takes a snapshot if it is newer than what is held.
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -83,7 +83,7 @@
         .ok_or(RefusalReason::NoTarget)?;
     let until = call.deadline.at();
     let run = expected_run(node, call, &target);
-    let closes = *lock(&node.gate_closes);
+    let closes = *lock(&node.gate_closes_at);
     if closes.is_some_and(|closes| now + run.mul_f64(LIKELY_RUN_FACTOR) > closes) {
         return Err(RefusalReason::Draining);
     }
@@ -115,7 +115,7 @@
     let of_route = call
         .route
         .as_ref()
-        .and_then(|route| node.runs.measured(route));
+        .and_then(|route| node.run_estimates.measured(route));
     of_route.map_or_else(|| target.gate.load().mean_run, |held| held.run_time)
 }
 
@@ -123,7 +123,7 @@
 pub(crate) fn record_run(node: &NodeHandle, call: &GateCall, started: Instant) {
     if let Some(route) = &call.route {
         let took = node.clock.now().saturating_duration_since(started);
-        node.runs.record(route, 0, took);
+        node.run_estimates.record(route, 0, took);
     }
 }
 
--- a/wisteriaturnd/src/gate/crash.rs
+++ b/wisteriaturnd/src/gate/crash.rs
@@ -66,7 +66,7 @@
     targets::withdraw(node, &call.service).await;
     let fingerprint = call.fingerprint;
     let now = node.clock.now();
-    let loss = node.next_loss();
+    let loss = node.next_loss_id();
     let is_new = {
         let mut suspects = lock(&node.suspects);
         if suspects.has_recent_success(fingerprint) {
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -46,9 +46,9 @@
 
 async fn serve(node: &NodeHandle, mut stream: TcpStream) {
     let accepted =
-        handshake::accept(&mut stream, &node.settings.keys, PortUse::Hop, node.life).await;
+        handshake::accept(&mut stream, &node.settings.keys, PortUse::Hop, node.boot_id).await;
     if accepted.is_err() {
-        node.metrics.note_drop("hop-unauthenticated");
+        node.metrics.count_drop("hop-unauthenticated");
         return;
     }
     serve_http(node, stream, LIMITS, |request| handle(node, request)).await;
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -53,7 +53,7 @@
         let load = target.gate.load();
         let map = response.headers_mut();
         headers::set(map, headers::BUSY, load.busy + load.waiting);
-        if let Some(held) = route.and_then(|route| node.runs.measured(&route)) {
+        if let Some(held) = route.and_then(|route| node.run_estimates.measured(&route)) {
             headers::set(map, headers::MEAN_RUN_US, held.run_time.as_micros());
         }
         headers::set(
@@ -296,7 +296,7 @@
     let holder = ClaimHolder {
         run: call.call,
         hop: node.settings.hop,
-        boot_id: node.life,
+        boot_id: node.boot_id,
     };
     node.claims.claim(key, holder, call.deadline.at()).await
 }
@@ -305,7 +305,7 @@
 async fn ask_holder(node: &NodeHandle, call: &GateCall, holder: ClaimHolder) -> Response<NodeBody> {
     let asked = async {
         if holder.hop == node.settings.hop {
-            if holder.boot_id != node.life {
+            if holder.boot_id != node.boot_id {
                 return InquiryAnswer::Unknown;
             }
             return port::inquire(node, ASK_INQUIRE, holder.run).await;
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -183,7 +183,7 @@
     let now = node.clock.now();
     check_announcement(node, announcement)?;
     if let Some(statement) = announcement.statement()
-        && !lock(&node.announces).accept(statement)
+        && !lock(&node.announcements).accept(statement)
     {
         return Err(RegistrationError::Stale);
     }
@@ -293,7 +293,7 @@
     incarnation: Option<Incarnation>,
 ) -> bool {
     let now = Incarnation(node.clock.unix_millis());
-    if !lock(&node.announces).record_departure(instance, incarnation, now) {
+    if !lock(&node.announcements).record_departure(instance, incarnation, now) {
         publish(node).await;
         return false;
     }
@@ -315,13 +315,13 @@
 /// this node that they leave. One that was announced again since, by a late
 /// message, is withdrawn.
 pub async fn restore_departures(node: &NodeHandle, departures: &[TargetDeparture]) {
-    if !lock(&node.announces).restore(departures) {
+    if !lock(&node.announcements).restore(departures) {
         return;
     }
     log::info!(event = "departures-restored", known = departures.len(); "place");
     for (service, target) in node.targets.all() {
         let is_departing = target.instance.as_ref().is_some_and(|instance| {
-            lock(&node.announces).is_departing(instance, target.incarnation)
+            lock(&node.announcements).is_departing(instance, target.incarnation)
         });
         if is_departing {
             withdraw(node, &service).await;
@@ -343,7 +343,7 @@
 pub async fn publish(node: &NodeHandle) {
     let is_leaving = node.current_stage() >= NodeStage::Draining;
     let targets = node.targets.records(is_leaving);
-    let departures = lock(&node.announces).departures();
+    let departures = lock(&node.announcements).departures();
     let record = {
         let mut table = lock(&node.table);
         if table.own().targets == targets && table.own().departures == departures {
--- a/wisteriaturnd/src/http/listener.rs
+++ b/wisteriaturnd/src/http/listener.rs
@@ -90,7 +90,7 @@
             continue;
         };
         let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
-            node.metrics.note_drop(limits.drop_cause);
+            node.metrics.count_drop(limits.drop_cause);
             continue;
         };
         let _ = stream.set_nodelay(true);
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -30,7 +30,7 @@
 use crate::http::headers;
 use crate::ingress::liveness::wait_until_unresponsive;
 use crate::ingress::selection::{ChosenTarget, choose_next_target};
-use crate::logs::Clean;
+use crate::logs::Sanitized;
 use crate::mesh::hop::{self, GateCall, HopResult};
 use crate::node::NodeHandle;
 
@@ -83,8 +83,8 @@
 
 impl RoutedCall {
     /// Returns the caller's name for its attempt, for log lines.
-    pub(crate) fn request_text(&self) -> Clean<'_> {
-        Clean::of_header(self.request_id.as_ref())
+    pub(crate) fn request_text(&self) -> Sanitized<'_> {
+        Sanitized::from_header(self.request_id.as_ref())
     }
 }
 
@@ -132,7 +132,7 @@
 
 /// Makes attempts until one has an answer or no other may follow.
 pub async fn run(node: &NodeHandle, mut call: RoutedCall) -> Response<NodeBody> {
-    let budget = node.budget(&call.service.spec.name);
+    let budget = node.retry_budget(&call.service.spec.name);
     budget.record_call(call.service.spec.retry_percent);
     let mut count = AttemptCount::default();
     // The answer to an attempt that may have run: from then on the call as a
@@ -408,7 +408,8 @@
     let took = now.duration_since(started);
     if result == AttemptResult::Answered {
         let bytes = end.response.body().size_hint().lower();
-        node.sizes.record(&call.route.spec.name, bytes, took);
+        node.answer_estimates
+            .record(&call.route.spec.name, bytes, took);
     }
     let ejected = node.load.with_service(service, |load| {
         if let Some(busy) = end.report.busy {
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -23,7 +23,7 @@
 use crate::http::body::{BodyEnd, BufferedBody, CountedBody, NodeBody, OnEndBody, boxed};
 use crate::http::headers;
 use crate::ingress::attempt::{self, RoutedCall};
-use crate::logs::Clean;
+use crate::logs::Sanitized;
 use crate::metrics::CallLabels;
 use crate::node::{NodeHandle, NodeStage};
 
@@ -63,9 +63,9 @@
         self.node.metrics.calls.get_or_create(&labels).inc();
         log::info!(
             event = "call",
-            request:% = Clean(&self.request_id),
-            method:% = Clean(self.method.as_str()),
-            path:% = Clean(&self.path),
+            request:% = Sanitized(&self.request_id),
+            method:% = Sanitized(self.method.as_str()),
+            path:% = Sanitized(&self.path),
             route:% = self.route,
             outcome:% = self.outcome,
             reason = self.reason,
@@ -181,7 +181,7 @@
         .ok_or(RefusalReason::NoRoute)?;
     let most = route.spec.max_concurrent;
     let permit = node
-        .limits
+        .route_limiter
         .try_acquire(&route.spec.name, most)
         .ok_or(RefusalReason::RouteLimit)?;
     let asked = headers::parsed_millis(request.headers(), &node.edge.deadline_ms);
--- a/wisteriaturnd/src/ingress/liveness.rs
+++ b/wisteriaturnd/src/ingress/liveness.rs
@@ -43,7 +43,7 @@
             missed += 1;
         }
         let may_give_up =
-            node.current_stage() == NodeStage::Ready && node.budget(service).has_retry();
+            node.current_stage() == NodeStage::Ready && node.retry_budget(service).has_retry();
         if missed >= DOUBT_LIMIT && may_give_up {
             break;
         }
--- a/wisteriaturnd/src/ingress/selection.rs
+++ b/wisteriaturnd/src/ingress/selection.rs
@@ -83,9 +83,9 @@
                     requirements: demand,
                     tried,
                 };
-                choose_cheapest_target(&node.place, &targets, policy, load, calls, now, &mut rng)
+                choose_cheapest_target(&node.location, &targets, policy, load, calls, now, &mut rng)
             }
-            None => choose_target(&node.place, &targets, policy, load, tried, now, &mut rng),
+            None => choose_target(&node.location, &targets, policy, load, tried, now, &mut rng),
         }
     });
     log_choice(call, &choice, tried.len() + 1, now);
@@ -100,7 +100,7 @@
 /// time an answer is worth most.
 fn demand(node: &NodeHandle, call: &RoutedCall, now: Instant) -> Option<CallRequirements> {
     call.route.spec.target_latency_ms?;
-    let expected = node.sizes.estimate(&call.route.spec.name);
+    let expected = node.answer_estimates.estimate(&call.route.spec.name);
     Some(CallRequirements {
         late_after: call.soft_deadline.remaining(now),
         deadline: call.deadline.remaining(now),
--- a/wisteriaturnd/src/lifecycle.rs
+++ b/wisteriaturnd/src/lifecycle.rs
@@ -69,7 +69,7 @@
         tokio::spawn(targets::expire_task(node.clone()));
         if let Some(port) = node.documents.clone() {
             tokio::spawn(documents::follow_task(node.clone(), port));
-            tokio::spawn(documents::sign_task(node.clone()));
+            tokio::spawn(documents::heartbeat_task(node.clone()));
         }
         if let Some(port) = node.directory.clone() {
             tokio::spawn(directory::directory_task(node.clone(), port));
@@ -101,7 +101,7 @@
         let warned = tokio::time::sleep(lame_duck);
         let gate_time = lame_duck.saturating_sub(LEAVE_NOTICE);
         if !gate_time.is_zero() {
-            *lock(&node.gate_closes) = Some(node.clock.now() + gate_time);
+            *lock(&node.gate_closes_at) = Some(node.clock.now() + gate_time);
             node.stage.send_replace(NodeStage::LameDuck);
             tokio::time::sleep(gate_time).await;
         }
--- a/wisteriaturnd/src/logs.rs
+++ b/wisteriaturnd/src/logs.rs
@@ -2,7 +2,7 @@
 //!
 //! The layout is logforth's. It quotes a value that holds a space, a quote or
 //! an equals sign, but not one that holds a line break, so text that strangers
-//! choose goes through [`Clean`] first and cannot forge a line.
+//! choose goes through [`Sanitized`] first and cannot forge a line.
 
 use std::fmt;
 
@@ -17,17 +17,17 @@
 
 /// Text with control characters escaped and its length bounded.
 #[derive(Debug, Clone, Copy)]
-pub struct Clean<'a>(pub &'a str);
+pub struct Sanitized<'a>(pub &'a str);
 
-impl<'a> Clean<'a> {
+impl<'a> Sanitized<'a> {
     /// Returns the text of a header, or nothing as an empty text.
-    pub fn of_header(value: Option<&'a HeaderValue>) -> Self {
+    pub fn from_header(value: Option<&'a HeaderValue>) -> Self {
         let text = value.and_then(|value| value.to_str().ok());
         Self(text.unwrap_or_default())
     }
 }
 
-impl fmt::Display for Clean<'_> {
+impl fmt::Display for Sanitized<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
             // An empty value would read as if the next key were its value.
@@ -48,7 +48,7 @@
 ///
 /// Lines are handed to a thread of their own, so that a slow reader of the
 /// output does not hold up calls; when its buffer is full, lines are dropped.
-pub fn start(level: LevelFilter) {
+pub fn init(level: LevelFilter) {
     let append = logforth::append::asynchronous::AsyncBuilder::new("logs")
         .buffered_lines_limit(Some(16_384))
         .overflow_drop_incoming()
--- a/wisteriaturnd/src/main.rs
+++ b/wisteriaturnd/src/main.rs
@@ -50,7 +50,7 @@
         println!("the settings are valid");
         return ExitCode::SUCCESS;
     }
-    logs::start(settings.log_level);
+    logs::init(settings.log_level);
     match run(settings, options.trial) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -18,7 +18,7 @@
 };
 
 use crate::control::documents;
-use crate::control::store::StoreStep;
+use crate::control::store::FoldOutcome;
 use crate::mesh::news;
 use crate::mesh::peer_client;
 use crate::metrics::TrafficKind;
@@ -38,10 +38,10 @@
     };
     let sealed = node.settings.keys.seal(message);
     if sealed.len() > MAX_DATAGRAM_BYTES {
-        node.metrics.note_drop("datagram-too-large");
+        node.metrics.count_drop("datagram-too-large");
         return;
     }
-    node.note_sent(kind, to, sealed.len() + HEADER_BYTES);
+    node.count_sent(kind, to, sealed.len() + HEADER_BYTES);
     let _ = node.udp.send_to(&sealed, node.addresses.map(to)).await;
 }
 
@@ -81,7 +81,7 @@
 
 fn expect_ack(node: &NodeState, nonce: u64) -> oneshot::Receiver<NodeStatus> {
     let (sender, receiver) = oneshot::channel();
-    lock(&node.pending).insert(nonce, sender);
+    lock(&node.pending_probes).insert(nonce, sender);
     receiver
 }
 
@@ -92,12 +92,12 @@
     wait: Duration,
 ) -> Option<NodeStatus> {
     let answer = tokio::time::timeout(wait, receiver).await;
-    lock(&node.pending).remove(&nonce);
+    lock(&node.pending_probes).remove(&nonce);
     answer.ok()?.ok()
 }
 
 fn answer_pending(node: &NodeState, nonce: u64, status: NodeStatus) {
-    if let Some(sender) = lock(&node.pending).remove(&nonce) {
+    if let Some(sender) = lock(&node.pending_probes).remove(&nonce) {
         let _ = sender.send(status);
     }
 }
@@ -115,17 +115,17 @@
             }
         };
         if length > MAX_DATAGRAM_BYTES {
-            node.metrics.note_drop("datagram-too-large");
+            node.metrics.count_drop("datagram-too-large");
             continue;
         }
         let Ok(message) = node.settings.keys.open(&buffer[..length]) else {
-            node.metrics.note_drop("datagram-unauthenticated");
+            node.metrics.count_drop("datagram-unauthenticated");
             continue;
         };
-        node.note_heard();
+        node.record_contact();
         match decode(message) {
             Ok(datagram) => receive(&node, from, datagram).await,
-            Err(_) => node.metrics.note_drop("datagram-malformed"),
+            Err(_) => node.metrics.count_drop("datagram-malformed"),
         }
     }
 }
@@ -165,7 +165,7 @@
             receive_record(node, from, version, record).await;
         }
         Datagram::ReaderHeartbeat { version, position } => {
-            documents::note_sign(node, from, version, position);
+            documents::handle_heartbeat(node, from, version, position);
         }
         Datagram::Rumors { rumors } => news::learn_all(node, from, rumors, true).await,
     }
@@ -198,7 +198,7 @@
 fn note_status(node: &NodeHandle, from: SocketAddr, status: NodeStatus) {
     lock(&node.table).record_held_version(from, status.version);
     let own = node.status();
-    if status.version > own.version && node.is_pull_due(status.version) {
+    if status.version > own.version && node.should_pull(status.version) {
         peer_client::spawn_pull(node, from);
     }
     if status.version == own.version {
@@ -219,16 +219,16 @@
         return;
     };
     match fold_record(node, version, &record) {
-        StoreStep::Folded(_) => push_record(node, version, &record).await,
-        StoreStep::Known => {}
-        StoreStep::Gap => peer_client::spawn_pull(node, from),
+        FoldOutcome::Folded(_) => push_record(node, version, &record).await,
+        FoldOutcome::Duplicate => {}
+        FoldOutcome::Gap => peer_client::spawn_pull(node, from),
     }
 }
 
 /// Folds one record and puts the result in force.
-pub fn fold_record(node: &NodeState, version: ConfigVersion, record: &Bytes) -> StoreStep {
+pub fn fold_record(node: &NodeState, version: ConfigVersion, record: &Bytes) -> FoldOutcome {
     let step = lock(&node.store).fold(version, record);
-    if let StoreStep::Folded(verdict) = &step {
+    if let FoldOutcome::Folded(verdict) = &step {
         node.publish_view();
         log::info!(event = "folded", version:% = version, verdict:? = verdict; "config");
     }
@@ -270,7 +270,7 @@
             table.iter().filter(|entry| entry.record.is_live()).count()
         };
         node.metrics.members.set(live as i64);
-        node.share_budgets();
+        node.update_retry_budgets();
         tokio::time::sleep(LEAST_INTERVAL).await;
     }
 }
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -28,7 +28,7 @@
 use crate::http::exchange::{self, ExchangeError, pooled_body};
 use crate::http::headers;
 use crate::http::pool::PooledConnection;
-use crate::logs::Clean;
+use crate::logs::Sanitized;
 use crate::mesh::peer_client;
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
@@ -77,8 +77,8 @@
 
 impl GateCall {
     /// Returns the caller's name for its attempt, for log lines.
-    pub fn request_text(&self) -> Clean<'_> {
-        Clean::of_header(self.request_id.as_ref())
+    pub fn request_text(&self) -> Sanitized<'_> {
+        Sanitized::from_header(self.request_id.as_ref())
     }
 }
 
@@ -133,7 +133,7 @@
         let (life, is_reused) = (link.boot_id, link.is_reused);
         match timeout_at(until, send_over(node, link, request)).await {
             Ok(Ok(response)) => {
-                node.note_heard();
+                node.record_contact();
                 return HopResult::Answered(response);
             }
             Ok(Err(ExchangeError::Unsent(unsent))) if is_reused => request = *unsent,
--- a/wisteriaturnd/src/mesh/news.rs
+++ b/wisteriaturnd/src/mesh/news.rs
@@ -58,7 +58,7 @@
                     false
                 }
                 MergeOutcome::Full => {
-                    node.metrics.note_drop("member-table-full");
+                    node.metrics.count_drop("member-table-full");
                     false
                 }
                 _ => false,
@@ -116,7 +116,7 @@
     if near.is_empty() {
         return;
     }
-    for relay in node.far_relays().into_values().flatten() {
+    for relay in node.remote_relays().into_values().flatten() {
         send_news(node, relay, &near).await;
     }
 }
--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -16,7 +16,7 @@
 use wisteriaturn::peer::frame::{decode_frame, encode_frame};
 use wisteriaturn::peer::message::{MAX_FRAME_BYTES, PeerAnswer, PeerRequest};
 
-use crate::control::store::StoreStep;
+use crate::control::store::FoldOutcome;
 use crate::error::LinkError;
 use crate::http::pool::CONNECT_TIMEOUT;
 use crate::mesh::gossip;
@@ -81,7 +81,7 @@
         kind: TrafficKind,
     ) -> Result<PeerAnswer, LinkError> {
         let message = encode_frame(request)?;
-        node.note_sent(kind, self.peer, message.len() + 40);
+        node.count_sent(kind, self.peer, message.len() + 40);
         timeout(REQUEST_TIME, self.exchange(Bytes::from(message))).await?
     }
 
@@ -112,7 +112,7 @@
     request: &PeerRequest,
     kind: TrafficKind,
 ) -> Result<PeerAnswer, LinkError> {
-    node.note_sent(kind, peer, CONNECTION_BYTES);
+    node.count_sent(kind, peer, CONNECTION_BYTES);
     PeerLink::open(node, peer)
         .await?
         .ask(node, request, kind)
@@ -121,7 +121,7 @@
 
 /// Pulls the configuration from a peer unless a pull has just begun.
 pub fn spawn_pull(node: &NodeHandle, peer: NodeAddress) {
-    let Some(began) = lock(&node.source.pulling).try_start(node.clock.now()) else {
+    let Some(began) = lock(&node.source.pull_lease).try_start(node.clock.now()) else {
         return;
     };
     let node = node.clone();
@@ -129,7 +129,7 @@
         if let Err(error) = pull(&node, peer).await {
             log::debug!(event = "pull-failed", peer:% = peer, error:% = error; "config");
         }
-        lock(&node.source.pulling).finish(began);
+        lock(&node.source.pull_lease).finish(began);
     });
 }
 
@@ -140,7 +140,7 @@
 /// [`LinkError`] when the peer fails; what came before is in force.
 pub async fn pull(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
     let mut link = PeerLink::open(node, peer).await?;
-    node.note_sent(TrafficKind::Transfer, peer, CONNECTION_BYTES);
+    node.count_sent(TrafficKind::Transfer, peer, CONNECTION_BYTES);
     let mut is_whole_needed = false;
     loop {
         // Nobody knows a difference from the empty configuration.
@@ -172,7 +172,7 @@
     let mut version = first;
     let mut has_folded = false;
     for record in records {
-        if let StoreStep::Folded(_) = gossip::fold_record(node, version, &record) {
+        if let FoldOutcome::Folded(_) = gossip::fold_record(node, version, &record) {
             has_folded = true;
             gossip::push_record(node, version, &record).await;
         }
@@ -220,7 +220,7 @@
 /// Compares members with a peer and exchanges what differs, unless a
 /// comparison is under way.
 pub fn spawn_compare(node: &NodeHandle, peer: NodeAddress) {
-    if node.is_comparing.swap(true, Ordering::AcqRel) {
+    if node.is_anti_entropy_running.swap(true, Ordering::AcqRel) {
         return;
     }
     let node = node.clone();
@@ -228,14 +228,14 @@
         if let Err(error) = compare(&node, peer).await {
             log::debug!(event = "compare-failed", peer:% = peer, error:% = error; "member");
         }
-        node.is_comparing.store(false, Ordering::Release);
+        node.is_anti_entropy_running.store(false, Ordering::Release);
     });
 }
 
 async fn compare(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
     let kind = TrafficKind::AntiEntropy;
     let mut link = PeerLink::open(node, peer).await?;
-    node.note_sent(kind, peer, CONNECTION_BYTES);
+    node.count_sent(kind, peer, CONNECTION_BYTES);
     let digests = lock(&node.table).digests().clone();
     let answer = link
         .ask(node, &PeerRequest::Compare { digests }, kind)
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -52,7 +52,7 @@
             }
         };
         let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
-            node.metrics.note_drop("peer-connections");
+            node.metrics.count_drop("peer-connections");
             continue;
         };
         let (node, transfers) = (node.clone(), Arc::clone(&transfers));
@@ -72,10 +72,15 @@
 ) -> Result<(), LinkError> {
     let lost = |error: std::io::Error| LinkError::Lost(error.to_string());
     stream.set_nodelay(true).map_err(lost)?;
-    let accepted =
-        handshake::accept(&mut stream, &node.settings.keys, PortUse::Peer, node.life).await;
+    let accepted = handshake::accept(
+        &mut stream,
+        &node.settings.keys,
+        PortUse::Peer,
+        node.boot_id,
+    )
+    .await;
     if let Err(error) = accepted {
-        node.metrics.note_drop("peer-unauthenticated");
+        node.metrics.count_drop("peer-unauthenticated");
         return Err(error);
     }
     let mut framed = Framed::new(stream, framing());
@@ -87,10 +92,10 @@
         let (peer, kind) = (sender_of(&request), kind_of(&request));
         let answer = encode_frame(&handle(node, request, transfers).await)?;
         if let Some(peer) = peer {
-            node.note_sent(kind, peer, answer.len() + 40);
+            node.count_sent(kind, peer, answer.len() + 40);
         } else {
             let reach = crate::metrics::TrafficReach::Unknown;
-            node.metrics.note_sent(kind, reach, answer.len() + 40);
+            node.metrics.count_sent(kind, reach, answer.len() + 40);
         }
         framed.send(Bytes::from(answer)).await.map_err(lost)?;
     }
--- a/wisteriaturnd/src/mesh/prober.rs
+++ b/wisteriaturnd/src/mesh/prober.rs
@@ -157,7 +157,7 @@
     if !node.is_relay() {
         return;
     }
-    let far: Vec<NodeAddress> = node.far_relays().into_values().flatten().collect();
+    let far: Vec<NodeAddress> = node.remote_relays().into_values().flatten().collect();
     let Some(target) = far.choose(&mut rand::rng()).copied() else {
         return;
     };
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -38,7 +38,7 @@
 
 use crate::claims::client::ClaimClient;
 use crate::claims::keeper::ClaimKeeper;
-use crate::control::source::SourceStanding;
+use crate::control::source::SourceState;
 use crate::control::store::ConfigStore;
 use crate::gate::targets::LocalTargets;
 use crate::http::headers::EdgeHeaders;
@@ -73,9 +73,9 @@
     /// The clock.
     pub clock: SharedClock,
     /// This run of the process.
-    pub life: BootId,
+    pub boot_id: BootId,
     /// Where the node stands.
-    pub place: NodeLocation,
+    pub location: NodeLocation,
     /// The view in force.
     pub view: ViewCell,
     /// The folded configuration.
@@ -91,7 +91,7 @@
     /// What was seen of each target.
     pub load: LoadTracker,
     /// Calls under way on each route.
-    pub limits: RouteLimiter,
+    pub route_limiter: RouteLimiter,
     /// Calls given to this gate.
     pub ledger: CallLedger,
     /// Targets beside this node.
@@ -109,11 +109,11 @@
     /// Names of the headers that callers and targets know.
     pub edge: EdgeHeaders,
     /// What the targets on this VM said of themselves.
-    pub announces: Mutex<AnnouncementTracker>,
+    pub announcements: Mutex<AnnouncementTracker>,
     /// Size of the answers of each route.
-    pub sizes: AnswerEstimator,
+    pub answer_estimates: AnswerEstimator,
     /// Time that the targets on this VM take for calls of each route.
-    pub runs: AnswerEstimator,
+    pub run_estimates: AnswerEstimator,
     /// Claims that this gate asks for.
     pub claims: ClaimClient,
     /// Claim streams that this node writes.
@@ -123,11 +123,11 @@
     /// The socket for datagrams.
     pub udp: UdpSocket,
     /// Probes that wait for their answer.
-    pub pending: Mutex<HashMap<u64, oneshot::Sender<NodeStatus>>>,
+    pub pending_probes: Mutex<HashMap<u64, oneshot::Sender<NodeStatus>>>,
     /// Tells the version in force to those who wait for one.
     pub version: watch::Sender<ConfigVersion>,
     /// Where this node stands in the source of documents.
-    pub source: SourceStanding,
+    pub source: SourceState,
     /// Tells the stage to those who wait for one.
     pub stage: watch::Sender<NodeStage>,
     /// Wakes the task that joins members into the view.
@@ -136,13 +136,13 @@
     /// configuration that it could refuse a route by.
     pub was_ready: AtomicBool,
     /// Whether a comparison of members is under way.
-    pub is_comparing: AtomicBool,
+    pub is_anti_entropy_running: AtomicBool,
     /// When this node last heard another.
-    pub link: Mutex<LinkMonitor>,
+    pub link_monitor: Mutex<LinkMonitor>,
     /// When the gate closes, once the node is about to stop.
-    pub gate_closes: Mutex<Option<Instant>>,
+    pub gate_closes_at: Mutex<Option<Instant>>,
     /// Number of losses of a target at this gate.
-    pub losses: AtomicU64,
+    pub loss_count: AtomicU64,
     budgets: Mutex<BTreeMap<ServiceName, Arc<RetryBudget>>>,
     first_seen: Mutex<HashMap<(NodeAddress, Incarnation, ServiceName), Instant>>,
 }
@@ -264,15 +264,15 @@
             targets: Vec::new(),
             departures: Vec::new(),
         };
-        let place = NodeLocation {
+        let location = NodeLocation {
             region: settings.region.clone(),
             data_centre: settings.data_centre.clone(),
         };
         let (claims, claim_queues) = ClaimClient::new();
         let (keeper, keeper_queues) = ClaimKeeper::new();
         let node = NodeHandle(Arc::new(NodeState {
-            life: BootId(rand::random()),
-            place,
+            boot_id: BootId(rand::random()),
+            location,
             view: ViewCell::new(),
             store: Mutex::new(ConfigStore::new()),
             table: Mutex::new(MemberTable::new(own, clock.now())),
@@ -280,7 +280,7 @@
             suspects: Mutex::new(SuspectTable::new()),
             metrics: NodeMetrics::new(),
             load: LoadTracker::new(),
-            limits: RouteLimiter::new(),
+            route_limiter: RouteLimiter::new(),
             ledger: CallLedger::new(Arc::clone(&clock)),
             targets: LocalTargets::new(),
             hop_pool: ConnectionPool::for_nodes(
@@ -293,23 +293,23 @@
             documents: self.documents,
             directory: self.directory,
             edge: self.edge,
-            announces: Mutex::new(AnnouncementTracker::new()),
-            sizes: AnswerEstimator::new(),
-            runs: AnswerEstimator::new(),
+            announcements: Mutex::new(AnnouncementTracker::new()),
+            answer_estimates: AnswerEstimator::new(),
+            run_estimates: AnswerEstimator::new(),
             claims,
             keeper,
             udp,
             addresses: self.addresses,
-            pending: Mutex::default(),
+            pending_probes: Mutex::default(),
             version: watch::Sender::new(ConfigVersion(0)),
-            source: SourceStanding::new(),
+            source: SourceState::new(),
             stage: watch::Sender::new(NodeStage::Starting),
             members_changed: Notify::new(),
             was_ready: AtomicBool::new(false),
-            is_comparing: AtomicBool::new(false),
-            link: Mutex::new(LinkMonitor::new(clock.now())),
-            gate_closes: Mutex::default(),
-            losses: AtomicU64::new(0),
+            is_anti_entropy_running: AtomicBool::new(false),
+            link_monitor: Mutex::new(LinkMonitor::new(clock.now())),
+            gate_closes_at: Mutex::default(),
+            loss_count: AtomicU64::new(0),
             budgets: Mutex::default(),
             first_seen: Mutex::default(),
             settings,
@@ -333,14 +333,14 @@
     }
 
     /// Notes a sign of life of another node.
-    pub fn note_heard(&self) {
-        lock(&self.link).record_contact(self.clock.now());
+    pub fn record_contact(&self) {
+        lock(&self.link_monitor).record_contact(self.clock.now());
     }
 
     /// Tells whether this node is cut off from all others.
     pub fn is_isolated(&self) -> bool {
         let now = self.clock.now();
-        let link = *lock(&self.link);
+        let link = *lock(&self.link_monitor);
         // Each call asks this, and counting the members looks at all of them.
         if !link.is_silent(now) {
             return false;
@@ -409,7 +409,7 @@
     }
 
     /// Returns the relays of the other data centres, each with its place.
-    pub fn far_relays(&self) -> BTreeMap<DataCentre, Vec<NodeAddress>> {
+    pub fn remote_relays(&self) -> BTreeMap<DataCentre, Vec<NodeAddress>> {
         let table = lock(&self.table);
         let places: Vec<DataCentre> = table.digests().keys().cloned().collect();
         places
@@ -424,7 +424,7 @@
     }
 
     /// Returns how far traffic to a member goes.
-    pub fn reach(&self, address: SocketAddr) -> TrafficReach {
+    pub fn reach_of(&self, address: SocketAddr) -> TrafficReach {
         let table = lock(&self.table);
         match table.get(address) {
             Some(entry) if entry.record.data_centre == self.settings.data_centre => {
@@ -437,8 +437,8 @@
     }
 
     /// Counts control bytes sent to a member.
-    pub fn note_sent(&self, kind: TrafficKind, to: SocketAddr, bytes: usize) {
-        self.metrics.note_sent(kind, self.reach(to), bytes);
+    pub fn count_sent(&self, kind: TrafficKind, to: SocketAddr, bytes: usize) {
+        self.metrics.count_sent(kind, self.reach_of(to), bytes);
     }
 
     /// Tells whether this node reads the source of documents at the moment.
@@ -449,18 +449,19 @@
     /// Tells whether to pull a version that a peer holds. A node that follows a
     /// source of documents reads it there in a moment, so it leaves the peer's
     /// link alone until it is overdue.
-    pub fn is_pull_due(&self, version: ConfigVersion) -> bool {
+    pub fn should_pull(&self, version: ConfigVersion) -> bool {
         if self.documents.is_none() {
             return true;
         }
-        self.note_awaited(version);
+        self.record_missing_version(version);
         self.is_version_overdue()
     }
 
     /// Notes that a peer holds a version that this node does not.
-    pub fn note_awaited(&self, version: ConfigVersion) {
+    pub fn record_missing_version(&self, version: ConfigVersion) {
         let held = lock(&self.store).version();
-        self.source.note_awaited(version, held, self.clock.now());
+        self.source
+            .record_missing_version(version, held, self.clock.now());
     }
 
     /// Tells whether this node has heard of a version for longer than getting it
@@ -471,7 +472,7 @@
     }
 
     /// Returns the retry budget of a service.
-    pub fn budget(&self, service: &ServiceName) -> Arc<RetryBudget> {
+    pub fn retry_budget(&self, service: &ServiceName) -> Arc<RetryBudget> {
         let mut budgets = lock(&self.budgets);
         let budget = budgets.entry(service.clone()).or_insert_with(|| {
             let clock = Arc::clone(&self.clock);
@@ -484,7 +485,7 @@
     }
 
     /// Tells the retry budgets how many nodes share their limits.
-    pub fn share_budgets(&self) {
+    pub fn update_retry_budgets(&self) {
         let members = self.live_members();
         for budget in lock(&self.budgets).values() {
             budget.set_members(members);
@@ -497,8 +498,8 @@
     }
 
     /// Returns the next number for a loss of a target.
-    pub fn next_loss(&self) -> u64 {
+    pub fn next_loss_id(&self) -> u64 {
         // Losses are told apart across restarts by the wall time.
-        self.clock.unix_millis() + self.losses.fetch_add(1, Ordering::Relaxed)
+        self.clock.unix_millis() + self.loss_count.fetch_add(1, Ordering::Relaxed)
     }
 }
