--- a/testing/src/client.rs
+++ b/testing/src/client.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 /// Time for one exchange.
-pub const EXCHANGE_TIME: Duration = Duration::from_secs(30);
+pub const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A whole answer.
 #[derive(Debug, Clone)]
@@ -53,12 +53,12 @@
 
 /// A kept connection.
 #[derive(Debug)]
-pub struct HttpLink {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     address: SocketAddr,
 }
 
-impl HttpLink {
+impl HttpConnection {
     /// Opens a connection.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(address).await?;
@@ -104,10 +104,10 @@
     body: &[u8],
 ) -> Result<HttpReply> {
     let exchange = async {
-        let mut link = HttpLink::open(address).await?;
+        let mut link = HttpConnection::open(address).await?;
         link.send(method, path, headers, body).await
     };
-    timeout(EXCHANGE_TIME, exchange)
+    timeout(EXCHANGE_TIMEOUT, exchange)
         .await
         .map_err(|_| eyre!("no answer from {address} in time"))?
 }
--- a/testing/src/cluster.rs
+++ b/testing/src/cluster.rs
@@ -12,12 +12,12 @@
 use serde_json::{Value, json};
 
 use crate::client::{self, HttpReply};
-pub use crate::plan::{ClusterPlan, MESH_SECRET, PLACES};
-use crate::process::{OwnedProcess, program};
+pub use crate::plan::{ClusterPlan, DATA_CENTRES, MESH_SECRET};
+use crate::process::{OwnedProcess, program_path};
 
 /// Longest wait for a condition. It is far above what the conditions need, so
 /// that a busy machine does not decide a test.
-pub const WAIT_LIMIT: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 const STEP: Duration = Duration::from_millis(20);
 
@@ -69,7 +69,7 @@
     }
 
     fn write_settings(&self, index: usize) -> Result<()> {
-        let (region, place) = self.place(index);
+        let (region, place) = self.location(index);
         let seeds: Vec<String> = (0..self.plan.nodes.min(4))
             .map(|seed| format!("\"{}\"", self.peer(seed)))
             .collect();
@@ -88,28 +88,28 @@
             self.log_address(),
             self.plan.tuning,
         );
-        std::fs::write(self.settings(index), text)?;
+        std::fs::write(self.settings_path(index), text)?;
         Ok(())
     }
 
     /// Returns the settings file of a node.
-    pub fn settings(&self, index: usize) -> PathBuf {
+    pub fn settings_path(&self, index: usize) -> PathBuf {
         self.folder.join(format!("node-{index}.toml"))
     }
 
     /// Returns the output file of a node.
-    pub fn output(&self, index: usize) -> PathBuf {
+    pub fn output_path(&self, index: usize) -> PathBuf {
         self.folder.join(format!("node-{index}.log"))
     }
 
     /// Returns the file in which the targets note their runs.
-    pub fn runs_file(&self) -> PathBuf {
+    pub fn runs_path(&self) -> PathBuf {
         self.folder.join("runs")
     }
 
     /// Returns the region and the data centre of a node.
-    pub fn place(&self, index: usize) -> (&'static str, &'static str) {
-        PLACES[index % self.plan.places.clamp(1, PLACES.len())]
+    pub fn location(&self, index: usize) -> (&'static str, &'static str) {
+        DATA_CENTRES[index % self.plan.data_centres.clamp(1, DATA_CENTRES.len())]
     }
 
     fn address(&self, index: usize, port: u16) -> SocketAddr {
@@ -143,7 +143,7 @@
     }
 
     /// Returns the address of the target beside a node.
-    pub fn target(&self, index: usize) -> SocketAddr {
+    pub fn target_address(&self, index: usize) -> SocketAddr {
         self.address(index, 7090)
     }
 
@@ -152,7 +152,7 @@
         let arguments = vec![format!("--listen={}", self.log_address())];
         let output = self.folder.join("log.log");
         self.log = Some(OwnedProcess::start(
-            &program("log-standin")?,
+            &program_path("log-standin")?,
             &arguments,
             &output,
         )?);
@@ -160,8 +160,8 @@
     }
 
     /// Tells the log stand-in how to behave.
-    pub async fn set_log(&self, behaviour: &str) -> Result<()> {
-        self.wait("the log to take an order", async || {
+    pub async fn set_log_behaviour(&self, behaviour: &str) -> Result<()> {
+        self.wait_for("the log to take an order", async || {
             let set = client::post(self.log_address(), "/behaviour", behaviour).await;
             set.is_ok_and(|reply| reply.status == 200)
         })
@@ -170,9 +170,12 @@
 
     /// Starts a node.
     pub fn start_node(&mut self, index: usize) -> Result<()> {
-        let arguments = vec![format!("--config={}", self.settings(index).display())];
-        let process =
-            OwnedProcess::start(&program("wisteriaturnd")?, &arguments, &self.output(index))?;
+        let arguments = vec![format!("--config={}", self.settings_path(index).display())];
+        let process = OwnedProcess::start(
+            &program_path("wisteriaturnd")?,
+            &arguments,
+            &self.output_path(index),
+        )?;
         self.nodes[index] = Some(process);
         Ok(())
     }
@@ -180,27 +183,27 @@
     /// Starts the target beside a node.
     pub fn start_target(&mut self, index: usize, service: &str, slots: u16) -> Result<()> {
         let arguments = vec![
-            format!("--listen={}", self.target(index)),
+            format!("--listen={}", self.target_address(index)),
             format!("--admin={}", self.admin(index)),
             format!("--ingress={}", self.ingress(index)),
             format!("--service={service}"),
             format!("--slots={slots}"),
-            format!("--runs={}", self.runs_file().display()),
+            format!("--runs={}", self.runs_path().display()),
         ];
         let output = self.folder.join(format!("target-{index}.log"));
-        let process = OwnedProcess::start(&program("target-standin")?, &arguments, &output)?;
+        let process = OwnedProcess::start(&program_path("target-standin")?, &arguments, &output)?;
         self.targets[index] = Some(process);
         Ok(())
     }
 
     /// Returns the process of a node.
-    pub fn node(&mut self, index: usize) -> &mut OwnedProcess {
+    pub fn node_process(&mut self, index: usize) -> &mut OwnedProcess {
         self.nodes[index].as_mut().expect("the node was started")
     }
 
     /// Returns the process id of a node.
-    pub fn node_id(&self, index: usize) -> u32 {
-        self.nodes[index].as_ref().map_or(0, OwnedProcess::id)
+    pub fn node_pid(&self, index: usize) -> u32 {
+        self.nodes[index].as_ref().map_or(0, OwnedProcess::pid)
     }
 
     /// Returns the process of a target.
@@ -211,11 +214,11 @@
     }
 
     /// Waits until a condition holds.
-    pub async fn wait<F>(&self, what: &str, mut condition: F) -> Result<()>
+    pub async fn wait_for<F>(&self, what: &str, mut condition: F) -> Result<()>
     where
         F: AsyncFnMut() -> bool,
     {
-        let until = Instant::now() + WAIT_LIMIT;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             if condition().await {
                 return Ok(());
@@ -235,7 +238,7 @@
         }
         let all = self.plan.nodes as u64;
         for index in 0..self.plan.nodes {
-            self.wait("the nodes to know each other", async || {
+            self.wait_for("the nodes to know each other", async || {
                 self.status(index).await["live_members"] == json!(all)
             })
             .await?;
@@ -245,7 +248,7 @@
 
     /// Waits until one node is ready.
     pub async fn wait_node_ready(&self, index: usize) -> Result<()> {
-        self.wait(&format!("node {index} to be ready"), async || {
+        self.wait_for(&format!("node {index} to be ready"), async || {
             let ready = client::get(self.admin(index), "/ready").await;
             ready.is_ok_and(|reply| reply.status == 200)
         })
@@ -253,8 +256,8 @@
     }
 
     /// Waits until one node has opened its ports.
-    pub async fn wait_node_open(&self, index: usize) -> Result<()> {
-        self.wait(&format!("node {index} to open its ports"), async || {
+    pub async fn wait_node_listening(&self, index: usize) -> Result<()> {
+        self.wait_for(&format!("node {index} to open its ports"), async || {
             client::get(self.admin(index), "/health").await.is_ok()
         })
         .await
@@ -307,7 +310,7 @@
             if self.nodes[index].is_none() {
                 continue;
             }
-            self.wait(
+            self.wait_for(
                 &format!("node {index} to hold version {version}"),
                 async || self.status(index).await["version"].as_u64() >= Some(version),
             )
@@ -318,7 +321,7 @@
 
     /// Waits until a node sees `count` targets of a service.
     pub async fn wait_targets(&self, index: usize, service: &str, count: usize) -> Result<()> {
-        self.wait(
+        self.wait_for(
             &format!("node {index} to see {count} targets of {service}"),
             async || {
                 let reply = client::get(self.admin(index), "/v1/targets").await;
@@ -330,8 +333,8 @@
     }
 
     /// Returns how often each run id was executed by the targets.
-    pub fn runs(&self) -> std::collections::HashMap<String, usize> {
-        let text = std::fs::read_to_string(self.runs_file()).unwrap_or_default();
+    pub fn run_counts(&self) -> std::collections::HashMap<String, usize> {
+        let text = std::fs::read_to_string(self.runs_path()).unwrap_or_default();
         let mut runs = std::collections::HashMap::new();
         for line in text.lines() {
             *runs.entry(line.to_owned()).or_default() += 1;
@@ -350,7 +353,7 @@
     }
 
     /// Tells whether any node ended that was not told to.
-    pub fn has_crashed(&mut self) -> bool {
+    pub fn has_crashed_node(&mut self) -> bool {
         self.nodes
             .iter_mut()
             .flatten()
--- a/testing/src/experiment/callers.rs
+++ b/testing/src/experiment/callers.rs
@@ -17,20 +17,20 @@
 #[derive(Debug, Default)]
 pub struct CallerLog {
     /// Calls by kind, last outcome and reason.
-    pub outcomes: Mutex<HashMap<(&'static str, String, String), u64>>,
+    pub totals: Mutex<HashMap<(&'static str, String, String), u64>>,
     /// What was told of each call, by run id.
-    pub told: Mutex<HashMap<String, Vec<String>>>,
+    pub outcomes_by_run: Mutex<HashMap<String, Vec<String>>>,
     /// Answers that belonged to another request.
-    pub crossed: AtomicU64,
+    pub mismatched: AtomicU64,
     /// Calls that ended without an answer, by ingress.
-    pub cut: Mutex<Vec<(usize, std::time::Instant)>>,
+    pub interrupted: Mutex<Vec<(usize, std::time::Instant)>>,
 }
 
 /// The kinds of calls.
 const KINDS: [&str; 3] = ["read", "keyed", "plain"];
 
 /// Calls through random nodes until told to stop.
-pub async fn caller_task(
+pub async fn run_caller(
     ingresses: Arc<Vec<SocketAddr>>,
     log: Arc<CallerLog>,
     seed: u64,
@@ -71,18 +71,21 @@
             Ok(reply) => {
                 let outcome = reply.outcome().to_owned();
                 if outcome == "done" && reply.json()["id"].as_str() != Some(id) {
-                    log.crossed.fetch_add(1, Ordering::Relaxed);
+                    log.mismatched.fetch_add(1, Ordering::Relaxed);
                 }
                 (outcome, reply.header("wisteriaturn-reason").to_owned())
             }
             Err(error) => cut_or_refused(log, index, error),
         };
-        let mut told = log.told.lock().expect("no panic");
-        told.entry(id.to_owned()).or_default().push(outcome.clone());
-        drop(told);
+        let mut outcomes_by_run = log.outcomes_by_run.lock().expect("no panic");
+        outcomes_by_run
+            .entry(id.to_owned())
+            .or_default()
+            .push(outcome.clone());
+        drop(outcomes_by_run);
         let is_last = outcome == "done" || send == sends;
         if is_last {
-            let mut outcomes = log.outcomes.lock().expect("no panic");
+            let mut outcomes = log.totals.lock().expect("no panic");
             *outcomes.entry((kind, outcome, reason)).or_default() += 1;
             return;
         }
@@ -97,7 +100,7 @@
     if is_refused {
         return ("port closed".to_owned(), String::new());
     }
-    let mut cut = log.cut.lock().expect("no panic");
+    let mut cut = log.interrupted.lock().expect("no panic");
     cut.push((index, std::time::Instant::now()));
     ("cut".to_owned(), String::new())
 }
--- a/testing/src/experiment/chaos.rs
+++ b/testing/src/experiment/chaos.rs
@@ -14,9 +14,9 @@
 
 use crate::client;
 use crate::cluster::{ClusterPlan, TestCluster};
-use crate::experiment::callers::{CallerLog, caller_task};
-use crate::experiment::faults::{FaultPlan, start_target};
-use crate::experiment::observer::{ViewLog, observe_task};
+use crate::experiment::callers::{CallerLog, run_caller};
+use crate::experiment::faults::{FaultInjector, start_target};
+use crate::experiment::observer::{ViewLog, observe_node};
 use crate::metrics;
 
 /// How the run is made.
@@ -43,7 +43,7 @@
 pub async fn run(options: ChaosOptions) -> Result<bool> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: options.nodes,
-        places: options.places,
+        data_centres: options.places,
         tuning: "probe_interval_ms = 300\nsuspect_timeout_ms = 1500\nsnapshot_every = 20".into(),
         ..ClusterPlan::default()
     })
@@ -68,12 +68,12 @@
     let mut tasks = tokio::task::JoinSet::new();
     for index in 0..options.nodes {
         let (admin, views, stop) = (cluster.admin(index), Arc::clone(&views), Arc::clone(&stop));
-        tasks.spawn(observe_task(admin, index, views, stop));
+        tasks.spawn(observe_node(admin, index, views, stop));
     }
     for caller in 0..options.callers {
         let seed = options.seed * 1_000 + caller;
         let stop = Arc::clone(&stop);
-        tasks.spawn(caller_task(
+        tasks.spawn(run_caller(
             Arc::clone(&ingresses),
             Arc::clone(&calls),
             seed,
@@ -85,13 +85,13 @@
         .collect();
     let operator = tokio::spawn(operate(admins, options.seed, Arc::clone(&stop)));
 
-    let mut faults = FaultPlan::new(options.seed, options.nodes, options.places);
+    let mut faults = FaultInjector::new(options.seed, options.nodes, options.places);
     let until = Instant::now() + Duration::from_secs(options.seconds);
     while Instant::now() < until {
         faults.step(&mut cluster, &views).await?;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    faults.heal(&mut cluster, &views).await?;
+    faults.undo_all(&mut cluster, &views).await?;
     stop.store(true, Ordering::Relaxed);
     let accepted = operator.await?;
     while tasks.join_next().await.is_some() {}
@@ -141,7 +141,7 @@
 async fn report(
     cluster: &mut TestCluster,
     options: &ChaosOptions,
-    faults: &FaultPlan,
+    faults: &FaultInjector,
     views: &ViewLog,
     calls: &CallerLog,
     accepted: &Accepted,
@@ -152,10 +152,10 @@
     );
     println!("faults: {:?}", faults.counts);
     print_outcomes(calls);
-    let runs = cluster.runs();
+    let runs = cluster.run_counts();
     let most = most_runs(&runs);
-    let not_run = not_run_but_ran(&runs, &calls.told.lock().expect("no panic"));
-    let done_not_run = done_but_not_ran(&runs, &calls.told.lock().expect("no panic"));
+    let not_run = not_run_but_ran(&runs, &calls.outcomes_by_run.lock().expect("no panic"));
+    let done_not_run = done_but_not_ran(&runs, &calls.outcomes_by_run.lock().expect("no panic"));
     let cut = cut_by_stops(faults, calls);
     let mut violations = 0.0;
     for index in 0..options.nodes {
@@ -184,7 +184,7 @@
         ),
         (
             "answers to another request",
-            calls.crossed.load(Ordering::Relaxed),
+            calls.mismatched.load(Ordering::Relaxed),
             0,
         ),
         ("calls cut by planned stops", cut, 0),
@@ -197,7 +197,7 @@
         ("invariant violations in the nodes", violations as u64, 0),
         (
             "nodes that ended by themselves",
-            u64::from(cluster.has_crashed()),
+            u64::from(cluster.has_crashed_node()),
             0,
         ),
     ];
@@ -227,7 +227,7 @@
 }
 
 fn print_outcomes(calls: &CallerLog) {
-    let outcomes = calls.outcomes.lock().expect("no panic");
+    let outcomes = calls.totals.lock().expect("no panic");
     let mut rows: Vec<_> = outcomes.iter().collect();
     rows.sort();
     println!(
@@ -249,24 +249,30 @@
 }
 
 /// Counts runs of calls whose every answer was `not-run`.
-fn not_run_but_ran(runs: &HashMap<String, usize>, told: &HashMap<String, Vec<String>>) -> u64 {
-    let denied = told
+fn not_run_but_ran(
+    runs: &HashMap<String, usize>,
+    outcomes_by_run: &HashMap<String, Vec<String>>,
+) -> u64 {
+    let denied = outcomes_by_run
         .iter()
-        .filter(|(_, told)| told.iter().all(|outcome| outcome == "not-run"));
+        .filter(|(_, outcomes)| outcomes.iter().all(|outcome| outcome == "not-run"));
     denied.filter(|(id, _)| runs.contains_key(*id)).count() as u64
 }
 
-fn done_but_not_ran(runs: &HashMap<String, usize>, told: &HashMap<String, Vec<String>>) -> u64 {
-    let done = told
+fn done_but_not_ran(
+    runs: &HashMap<String, usize>,
+    outcomes_by_run: &HashMap<String, Vec<String>>,
+) -> u64 {
+    let done = outcomes_by_run
         .iter()
-        .filter(|(_, told)| told.iter().any(|outcome| outcome == "done"));
+        .filter(|(_, outcomes)| outcomes.iter().any(|outcome| outcome == "done"));
     done.filter(|(id, _)| !runs.contains_key(*id)).count() as u64
 }
 
 /// Counts calls that ended without an answer while their ingress stopped as
 /// planned.
-fn cut_by_stops(faults: &FaultPlan, calls: &CallerLog) -> u64 {
-    let cut = calls.cut.lock().expect("no panic");
+fn cut_by_stops(faults: &FaultInjector, calls: &CallerLog) -> u64 {
+    let cut = calls.interrupted.lock().expect("no panic");
     let is_cut = |(index, when): &&(usize, Instant)| {
         faults
             .stops
@@ -294,7 +300,7 @@
     let mut times: Vec<u64> = Vec::new();
     for (version, when) in accepted {
         for index in 0..nodes {
-            if let Some(took) = views.took(index, *version, *when) {
+            if let Some(took) = views.convergence_time(index, *version, *when) {
                 times.push(took.as_millis() as u64);
             }
         }
--- a/testing/src/experiment/cost.rs
+++ b/testing/src/experiment/cost.rs
@@ -25,18 +25,18 @@
 
 impl NodeCost {
     /// Returns the bytes sent of one kind.
-    pub fn sent(&self, kind: &str) -> f64 {
+    pub fn bytes_sent(&self, kind: &str) -> f64 {
         self.bytes.get(kind).copied().unwrap_or_default()
     }
 }
 
 /// Reads what all nodes have cost.
-pub async fn costs(cluster: &TestCluster, nodes: usize) -> Vec<NodeCost> {
+pub async fn read_costs(cluster: &TestCluster, nodes: usize) -> Vec<NodeCost> {
     let mut costs = Vec::new();
     for index in 0..nodes {
         let text = cluster.metrics(index).await;
         let mut cost = NodeCost::default();
-        let id = cluster.node_id(index);
+        let id = cluster.node_pid(index);
         if let Ok(stat) = std::fs::read_to_string(format!("/proc/{id}/stat")) {
             let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split(' ').collect();
             let ticks = |place: usize| -> f64 {
@@ -67,7 +67,7 @@
 pub fn print_costs(phase: &str, before: &[NodeCost], after: &[NodeCost], seconds: f64) {
     let nodes = after.len() as f64;
     let rate = |name: &str| -> (f64, f64) {
-        let of = |cost: &NodeCost| cost.sent(name);
+        let of = |cost: &NodeCost| cost.bytes_sent(name);
         let rates: Vec<f64> = before
             .iter()
             .zip(after)
--- a/testing/src/experiment/faults.rs
+++ b/testing/src/experiment/faults.rs
@@ -28,7 +28,7 @@
 
 /// Draws faults and undoes them.
 #[derive(Debug)]
-pub struct FaultPlan {
+pub struct FaultInjector {
     rng: StdRng,
     open: Vec<OpenFault>,
     nodes: usize,
@@ -42,7 +42,7 @@
     pub bad_stops: u32,
 }
 
-impl FaultPlan {
+impl FaultInjector {
     /// Returns a plan from a seed.
     pub fn new(seed: u64, nodes: usize, places: usize) -> Self {
         Self {
@@ -69,7 +69,7 @@
     }
 
     /// Undoes all faults.
-    pub async fn heal(&mut self, cluster: &mut TestCluster, views: &ViewLog) -> Result<()> {
+    pub async fn undo_all(&mut self, cluster: &mut TestCluster, views: &ViewLog) -> Result<()> {
         self.undo(cluster, views, |_| true).await
     }
 
@@ -90,20 +90,20 @@
             match fault.kind {
                 FaultKind::KillNode(index) | FaultKind::StopNode(index) => {
                     cluster.start_node(index)?;
-                    views.note_back(index);
+                    views.record_up(index);
                 }
                 FaultKind::FreezeNode(index) => {
-                    cluster.node(index).signal("CONT");
-                    views.note_back(index);
+                    cluster.node_process(index).send_signal("CONT");
+                    views.record_up(index);
                 }
                 FaultKind::KillTarget(index) => start_target(cluster, index)?,
                 FaultKind::KillPlace(place) => {
                     for index in self.nodes_of(place) {
                         cluster.start_node(index)?;
-                        views.note_back(index);
+                        views.record_up(index);
                     }
                 }
-                FaultKind::LogOrder => cluster.set_log("{}").await?,
+                FaultKind::LogOrder => cluster.set_log_behaviour("{}").await?,
             }
         }
         Ok(())
@@ -122,13 +122,13 @@
         let draw = self.rng.random_range(0..11_u8);
         let kind = match draw {
             0 | 1 if !is_touched => {
-                views.note_down(index);
+                views.record_down(index);
                 cluster.kill_node(index);
                 self.count("kill node", FaultKind::KillNode(index))
             }
             2 | 3 if !is_touched => {
-                views.note_down(index);
-                cluster.node(index).signal("STOP");
+                views.record_down(index);
+                cluster.node_process(index).send_signal("STOP");
                 self.count("freeze node", FaultKind::FreezeNode(index))
             }
             4 if !is_touched => {
@@ -141,7 +141,7 @@
             }
             10 if !is_place_touched => {
                 for index in self.nodes_of(place) {
-                    views.note_down(index);
+                    views.record_down(index);
                     cluster.kill_node(index);
                 }
                 self.count("kill data centre", FaultKind::KillPlace(place))
@@ -155,7 +155,7 @@
                     8 => r#"{"late_appends":2,"late_ms":400}"#,
                     _ => r#"{"delay_ms":300}"#,
                 };
-                cluster.set_log(order).await?;
+                cluster.set_log_behaviour(order).await?;
                 let names = [
                     "log outage",
                     "log loses answers",
@@ -197,14 +197,15 @@
     ) -> Result<()> {
         // A process that has not opened its ports yet has no call to cut and
         // no handler for the signal either; it ends by it.
-        cluster.wait_node_open(index).await?;
+        cluster.wait_node_listening(index).await?;
         let began = Instant::now();
-        cluster.node(index).signal("TERM");
-        let ended = tokio::time::timeout(Duration::from_secs(60), cluster.node(index).wait()).await;
+        cluster.node_process(index).send_signal("TERM");
+        let ended =
+            tokio::time::timeout(Duration::from_secs(60), cluster.node_process(index).wait()).await;
         if !matches!(ended, Ok(Ok(0))) {
             self.bad_stops += 1;
         }
-        views.note_down(index);
+        views.record_down(index);
         self.stops.push((index, began, Instant::now()));
         cluster.kill_node(index);
         Ok(())
--- a/testing/src/experiment/latency.rs
+++ b/testing/src/experiment/latency.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 
-use crate::client::HttpLink;
+use crate::client::HttpConnection;
 use crate::cluster::{ClusterPlan, TestCluster};
 
 /// How the run is made.
@@ -54,7 +54,7 @@
     cluster.wait_targets(1, "portal", 1).await?;
     cluster.wait_targets(0, "portal", 1).await?;
     let paths = [
-        ("straight", cluster.target(0)),
+        ("straight", cluster.target_address(0)),
         ("one node", cluster.ingress(0)),
         ("two nodes", cluster.ingress(1)),
     ];
@@ -113,7 +113,7 @@
     size: &str,
     is_keyed: bool,
 ) -> Result<(Histogram<u64>, u64)> {
-    let mut link = HttpLink::open(address).await?;
+    let mut link = HttpConnection::open(address).await?;
     let mut times = Histogram::new(3)?;
     let mut failed = 0;
     // Callers start apart, so that they do not call in step.
--- a/testing/src/experiment/observer.rs
+++ b/testing/src/experiment/observer.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct ViewLog {
     /// Highest version seen at each node, with when it was reached.
-    pub held: Mutex<Vec<Vec<(u64, Instant)>>>,
+    pub versions: Mutex<Vec<Vec<(u64, Instant)>>>,
     /// Versions that fell.
     pub regressions: Mutex<Vec<String>>,
     /// Routes that named a service which the view did not hold.
@@ -34,7 +34,7 @@
     pub fn new(nodes: usize) -> Self {
         let now = Instant::now();
         Self {
-            held: Mutex::new(vec![Vec::new(); nodes]),
+            versions: Mutex::new(vec![Vec::new(); nodes]),
             regressions: Mutex::default(),
             dangling: Mutex::default(),
             down: Mutex::new(vec![None; nodes]),
@@ -43,20 +43,25 @@
     }
 
     /// Notes that a fault holds a node down.
-    pub fn note_down(&self, index: usize) {
+    pub fn record_down(&self, index: usize) {
         self.down.lock().expect("no panic")[index] = Some(Instant::now());
     }
 
     /// Notes that a node is back.
-    pub fn note_back(&self, index: usize) {
+    pub fn record_up(&self, index: usize) {
         self.back.lock().expect("no panic")[index] = Instant::now();
         self.down.lock().expect("no panic")[index] = None;
     }
 
     /// Returns how long a node took to hold a version that was accepted at
     /// `accepted`; nothing when a fault held the node down meanwhile.
-    pub fn took(&self, index: usize, version: u64, accepted: Instant) -> Option<Duration> {
-        let held = self.held.lock().expect("no panic");
+    pub fn convergence_time(
+        &self,
+        index: usize,
+        version: u64,
+        accepted: Instant,
+    ) -> Option<Duration> {
+        let held = self.versions.lock().expect("no panic");
         let (_, when) = held[index].iter().find(|(seen, _)| *seen >= version)?;
         let back = self.back.lock().expect("no panic")[index];
         let is_down = self.down.lock().expect("no panic")[index].is_some();
@@ -66,7 +71,7 @@
 
 /// Looks at one node until told to stop. A node that is not ready shows no
 /// view to callers, so only views of ready nodes count.
-pub async fn observe_task(
+pub async fn observe_node(
     admin: SocketAddr,
     index: usize,
     log: Arc<ViewLog>,
@@ -90,7 +95,7 @@
         }
         if version > highest {
             highest = version;
-            log.held.lock().expect("no panic")[index].push((version, Instant::now()));
+            log.versions.lock().expect("no panic")[index].push((version, Instant::now()));
         }
         looks += 1;
         if looks.is_multiple_of(10) {
--- a/testing/src/experiment/overload.rs
+++ b/testing/src/experiment/overload.rs
@@ -49,7 +49,9 @@
     for index in 0..3 {
         cluster.wait_targets(index, "portal", TARGETS).await?;
     }
-    let straight: Vec<_> = (0..TARGETS).map(|index| cluster.target(index)).collect();
+    let straight: Vec<_> = (0..TARGETS)
+        .map(|index| cluster.target_address(index))
+        .collect();
     let mesh: Vec<_> = (0..3).map(|index| cluster.ingress(index)).collect();
     let capacity = TARGETS as f64 * f64::from(SLOTS) / WORK.as_secs_f64();
     println!("capacity {capacity:.0} calls a second");
--- a/testing/src/experiment/scale.rs
+++ b/testing/src/experiment/scale.rs
@@ -21,9 +21,9 @@
 use wisteriaturnd::mesh::handshake::{self, PortUse};
 use wisteriaturnd::mesh::peer_client::framing;
 
-use crate::cluster::{ClusterPlan, MESH_SECRET, PLACES, TestCluster};
-use crate::experiment::cost::{NodeCost, costs, print_costs};
-use crate::experiment::spread::fill;
+use crate::cluster::{ClusterPlan, DATA_CENTRES, MESH_SECRET, TestCluster};
+use crate::experiment::cost::{NodeCost, print_costs, read_costs};
+use crate::experiment::spread::add_services;
 
 /// Nodes that run.
 const NODES: usize = 4;
@@ -52,10 +52,10 @@
     .await?;
     let time = Duration::from_secs(options.seconds);
     phase(&cluster, "empty", time).await?;
-    fill(&cluster).await?;
+    add_services(&cluster).await?;
     phase(&cluster, "170 services", time).await?;
 
-    let before = costs(&cluster, NODES).await;
+    let before = read_costs(&cluster, NODES).await;
     let began = Instant::now();
     let records: Vec<MemberRecord> = (NODES..options.members)
         .map(|number| member(number, 1))
@@ -72,7 +72,7 @@
     print_sum(
         "spreading the members",
         &before,
-        &costs(&cluster, NODES).await,
+        &read_costs(&cluster, NODES).await,
     );
     tokio::time::sleep(Duration::from_secs(5)).await;
     phase(&cluster, "170 services and all members", time).await?;
@@ -84,10 +84,10 @@
 }
 
 async fn phase(cluster: &TestCluster, name: &str, time: Duration) -> Result<()> {
-    let before = costs(cluster, NODES).await;
+    let before = read_costs(cluster, NODES).await;
     let began = Instant::now();
     tokio::time::sleep(time).await;
-    let after = costs(cluster, NODES).await;
+    let after = read_costs(cluster, NODES).await;
     print_costs(name, &before, &after, began.elapsed().as_secs_f64());
     Ok(())
 }
@@ -96,7 +96,7 @@
 async fn restart(cluster: &mut TestCluster, members: usize) -> Result<()> {
     let last = NODES - 1;
     cluster.kill_node(last);
-    let mut before = costs(cluster, NODES).await;
+    let mut before = read_costs(cluster, NODES).await;
     before[last] = NodeCost::default();
     let began = Instant::now();
     cluster.start_node(last)?;
@@ -106,13 +106,13 @@
         began.elapsed().as_secs_f64()
     );
     wait_members(cluster, last, members).await?;
-    print_sum("restart", &before, &costs(cluster, NODES).await);
+    print_sum("restart", &before, &read_costs(cluster, NODES).await);
     Ok(())
 }
 
 /// Spreads updates of members one after the other, as restarts would.
 async fn update(cluster: &TestCluster, options: &ScaleOptions) -> Result<()> {
-    let before = costs(cluster, NODES).await;
+    let before = read_costs(cluster, NODES).await;
     let began = Instant::now();
     let count = u64::from(options.updates) * options.seconds;
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
@@ -122,14 +122,14 @@
         tokio::time::sleep(Duration::from_secs(1) / options.updates).await;
     }
     let name = format!("{} updates a second", options.updates);
-    let after = costs(cluster, NODES).await;
+    let after = read_costs(cluster, NODES).await;
     print_costs(&name, &before, &after, began.elapsed().as_secs_f64());
     Ok(())
 }
 
 fn member(number: usize, sequence: u64) -> MemberRecord {
     // The first data centre is that of the nodes that run.
-    let (region, place) = PLACES[1 + number % (PLACES.len() - 1)];
+    let (region, place) = DATA_CENTRES[1 + number % (DATA_CENTRES.len() - 1)];
     let [high, low] = (number as u16).to_be_bytes();
     let address = SocketAddr::from(([127, 255, high, low], 7083));
     MemberRecord {
@@ -182,7 +182,7 @@
 
 async fn wait_members(cluster: &TestCluster, index: usize, members: usize) -> Result<()> {
     cluster
-        .wait("a node to know all members", async || {
+        .wait_for("a node to know all members", async || {
             cluster.status(index).await["live_members"] == json!(members)
         })
         .await
@@ -193,7 +193,7 @@
         let sum: f64 = before
             .iter()
             .zip(after)
-            .map(|(before, after)| after.sent(kind) - before.sent(kind))
+            .map(|(before, after)| after.bytes_sent(kind) - before.bytes_sent(kind))
             .sum();
         println!("{name},bytes sent by all: {kind},{sum:.0}");
     }
--- a/testing/src/experiment/spread.rs
+++ b/testing/src/experiment/spread.rs
@@ -11,8 +11,8 @@
 use serde_json::json;
 
 use crate::client;
-use crate::cluster::{ClusterPlan, PLACES, TestCluster};
-use crate::experiment::cost::{costs, print_costs};
+use crate::cluster::{ClusterPlan, DATA_CENTRES, TestCluster};
+use crate::experiment::cost::{print_costs, read_costs};
 
 /// How the run is made.
 #[derive(Debug, Options)]
@@ -44,29 +44,29 @@
 pub async fn run(options: SpreadOptions) -> Result<bool> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: options.nodes,
-        places: PLACES.len(),
+        data_centres: DATA_CENTRES.len(),
         tuning: options.tuning.replace(';', "\n"),
         strict: true,
         log_level: "info",
     })
     .await?;
     if options.full {
-        fill(&cluster).await?;
+        add_services(&cluster).await?;
     }
     let settle = Duration::from_secs(3);
     tokio::time::sleep(settle).await;
-    let before = costs(&cluster, options.nodes).await;
+    let before = read_costs(&cluster, options.nodes).await;
     let began = Instant::now();
     tokio::time::sleep(Duration::from_secs(options.idle_s)).await;
     let idle = began.elapsed().as_secs_f64();
-    let after = costs(&cluster, options.nodes).await;
+    let after = read_costs(&cluster, options.nodes).await;
     println!("nodes,{}", options.nodes);
     print_costs("idle", &before, &after, idle);
 
     let began = Instant::now();
     let times = change(&mut cluster, &options).await?;
     let took = began.elapsed().as_secs_f64();
-    let busy = costs(&cluster, options.nodes).await;
+    let busy = read_costs(&cluster, options.nodes).await;
     if !options.kill_relays {
         print_costs("changes", &after, &busy, took);
     }
@@ -79,7 +79,7 @@
 }
 
 /// Puts 170 services with a route each in place.
-pub async fn fill(cluster: &TestCluster) -> Result<()> {
+pub async fn add_services(cluster: &TestCluster) -> Result<()> {
     for batch in 0..17 {
         let mut operations = Vec::new();
         for number in batch * 10..batch * 10 + 10 {
@@ -119,7 +119,7 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     let mut times = Vec::new();
     for index in 0..options.nodes {
-        let output = std::fs::read_to_string(cluster.output(index))?;
+        let output = std::fs::read_to_string(cluster.output_path(index))?;
         let folded = fold_times(&output);
         for (version, sent) in &accepted {
             match folded.get(version) {
@@ -225,9 +225,9 @@
     let reads =
         after["reads"].as_u64().unwrap_or_default() - before["reads"].as_u64().unwrap_or_default();
     println!("herd,reads of the log,{reads}");
-    let costs = costs(cluster, nodes).await;
+    let costs = read_costs(cluster, nodes).await;
     for kind in ["Transfer", "AntiEntropy", "Push"] {
-        let sent = costs.iter().map(|cost| cost.sent(kind));
+        let sent = costs.iter().map(|cost| cost.bytes_sent(kind));
         let mean = sent.clone().sum::<f64>() / nodes as f64;
         let most = sent.fold(0.0, f64::max);
         println!("herd,bytes sent by a node: {kind},mean {mean:.0},most {most:.0}");
--- a/testing/src/forwarder.rs
+++ b/testing/src/forwarder.rs
@@ -9,15 +9,15 @@
 
 /// Forwards connections to one address until it is cut.
 #[derive(Debug)]
-pub struct CutLink {
+pub struct TcpForwarder {
     /// Where to connect instead.
     pub address: SocketAddr,
     is_cut: watch::Sender<bool>,
 }
 
-impl CutLink {
+impl TcpForwarder {
     /// Opens a link to `target`.
-    pub async fn open(target: SocketAddr) -> Result<Self> {
+    pub async fn start(target: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let is_cut = watch::Sender::new(false);
@@ -32,7 +32,7 @@
 
     /// Cuts the link, or heals it: connections break and new ones are closed
     /// at once.
-    pub fn set_cut(&self, is_cut: bool) {
+    pub fn set_partitioned(&self, is_cut: bool) {
         self.is_cut.send_replace(is_cut);
     }
 }
--- a/testing/src/plan.rs
+++ b/testing/src/plan.rs
@@ -4,7 +4,7 @@
 pub const MESH_SECRET: &str = "a secret for tests only";
 
 /// Regions and data centres of the letter's size: three and seven.
-pub const PLACES: [(&str, &str); 7] = [
+pub const DATA_CENTRES: [(&str, &str); 7] = [
     ("r1", "r1-a"),
     ("r1", "r1-b"),
     ("r2", "r2-a"),
@@ -20,7 +20,7 @@
     /// Number of nodes.
     pub nodes: usize,
     /// Number of data centres over which they are spread.
-    pub places: usize,
+    pub data_centres: usize,
     /// Lines added to the `[tuning]` table of every node.
     pub tuning: String,
     /// Whether broken invariants end a node.
@@ -33,7 +33,7 @@
     fn default() -> Self {
         Self {
             nodes: 3,
-            places: 1,
+            data_centres: 1,
             tuning: String::new(),
             strict: true,
             log_level: "info",
--- a/testing/src/process.rs
+++ b/testing/src/process.rs
@@ -37,15 +37,15 @@
     }
 
     /// Returns the process id.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
     /// Sends a signal by its name, as `kill` takes it. After a `STOP` it returns
     /// when the process stands still: `kill` only asks for that, and a thread that
     /// runs at that moment goes on for a little.
-    pub fn signal(&self, name: &str) {
-        let id = self.id().to_string();
+    pub fn send_signal(&self, name: &str) {
+        let id = self.pid().to_string();
         let _ = Command::new("kill").args(["-s", name, &id]).status();
         if name == "STOP" {
             let until = Instant::now() + STOP_LIMIT;
@@ -58,7 +58,7 @@
 
     /// Tells whether every thread of the process stands still.
     fn is_stopped(&self) -> bool {
-        let tasks = format!("/proc/{}/task", self.id());
+        let tasks = format!("/proc/{}/task", self.pid());
         let Ok(entries) = std::fs::read_dir(tasks) else {
             // A process that is gone runs nothing either.
             return true;
@@ -99,7 +99,7 @@
 
 /// Returns the path of a program of this workspace, built on first use with
 /// the profile of the caller.
-pub fn program(name: &str) -> Result<PathBuf> {
+pub fn program_path(name: &str) -> Result<PathBuf> {
     static FOLDER: OnceLock<PathBuf> = OnceLock::new();
     let folder = match FOLDER.get() {
         Some(folder) => folder.clone(),
--- a/tests/integration/inside_cut.rs
+++ b/tests/integration/inside_cut.rs
@@ -9,15 +9,15 @@
 use wisteriaturn::clock::SystemClock;
 use wisteriaturn_testing::client;
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
-use wisteriaturn_testing::forwarder::CutLink;
+use wisteriaturn_testing::forwarder::TcpForwarder;
 use wisteriaturnd::lifecycle::RunningNode;
 use wisteriaturnd::node::{AddressMap, NodeBuilder};
 use wisteriaturnd::settings::NodeSettings;
 use wisteriaturnd::stream::memory::memory_log;
 
-/// Three nodes of which node 1 reaches the gate of node 0 only by `link`, and
+/// Three nodes of which node 1 reaches the gate of node 0 only by `forwarder`, and
 /// a target beside node 0.
-async fn start() -> Result<(TestCluster, Vec<RunningNode>, Arc<CutLink>)> {
+async fn start() -> Result<(TestCluster, Vec<RunningNode>, Arc<TcpForwarder>)> {
     let plan = ClusterPlan {
         nodes: 3,
         strict: false,
@@ -25,16 +25,16 @@
     };
     let mut cluster = TestCluster::prepare(plan)?;
     let log = memory_log();
-    let link = Arc::new(CutLink::open(cluster.hop(0)).await?);
+    let forwarder = Arc::new(TcpForwarder::start(cluster.hop(0)).await?);
     let mut nodes = Vec::new();
     for index in 0..3 {
-        let settings = NodeSettings::read(&cluster.settings(index))?;
+        let settings = NodeSettings::read(&cluster.settings_path(index))?;
         let mut builder = NodeBuilder::new(settings, Arc::new(SystemClock), log.clone());
         if index == 1 {
-            let (hop, link) = (cluster.hop(0), Arc::clone(&link));
+            let (hop, forwarder) = (cluster.hop(0), Arc::clone(&forwarder));
             builder = builder.addresses(AddressMap::new(move |address| {
                 if address == hop {
-                    link.address
+                    forwarder.address
                 } else {
                     address
                 }
@@ -48,45 +48,45 @@
         .await?;
     cluster.start_target(0, "dispatch", 1)?;
     cluster.wait_targets(1, "dispatch", 1).await?;
-    Ok((cluster, nodes, link))
+    Ok((cluster, nodes, forwarder))
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_link_loses_no_answer_of_a_call_that_ran() -> Result<()> {
-    let (cluster, _nodes, link) = start().await?;
+    let (cluster, _nodes, forwarder) = start().await?;
     let ingress = cluster.ingress(1);
     let call = tokio::spawn(async move {
         let headers = [("x-run", "cut"), ("x-sleep-ms", "500")];
         client::send(ingress, "POST", "/dispatch", &headers, b"").await
     });
     cluster
-        .wait("the call to run", async || {
-            cluster.runs().contains_key("cut")
+        .wait_for("the call to run", async || {
+            cluster.run_counts().contains_key("cut")
         })
         .await?;
-    link.set_cut(true);
+    forwarder.set_partitioned(true);
 
     // Node 2 still reaches the gate, and asks for node 1.
     let reply = call.await??;
     assert_eq!(reply.outcome(), "done", "{}", reply.text());
     assert_eq!(reply.json()["id"], json!("cut"));
     assert_eq!(reply.header("wisteriaturn-replayed"), "true");
-    assert_eq!(cluster.runs()["cut"], 1);
+    assert_eq!(cluster.run_counts()["cut"], 1);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_link_revokes_a_call_that_waits() -> Result<()> {
-    let (cluster, nodes, link) = start().await?;
+    let (cluster, nodes, forwarder) = start().await?;
     let (busy, ingress) = (cluster.ingress(0), cluster.ingress(1));
     let running = tokio::spawn(async move {
         let headers = [("x-run", "busy"), ("x-sleep-ms", "2000")];
         client::send(busy, "POST", "/dispatch", &headers, b"").await
     });
     cluster
-        .wait("the slot to be taken", async || {
-            cluster.runs().contains_key("busy")
+        .wait_for("the slot to be taken", async || {
+            cluster.run_counts().contains_key("busy")
         })
         .await?;
     let waiting = tokio::spawn(async move {
@@ -94,11 +94,11 @@
         client::send(ingress, "POST", "/dispatch", &headers, b"").await
     });
     cluster
-        .wait("the call to wait", async || {
+        .wait_for("the call to wait", async || {
             nodes[0].node.targets.in_flight() == 2
         })
         .await?;
-    link.set_cut(true);
+    forwarder.set_partitioned(true);
 
     let reply = waiting.await??;
     assert_eq!(reply.outcome(), "not-run", "{}", reply.text());
@@ -107,7 +107,7 @@
     let headers = [("x-run", "after")];
     let after = client::send(cluster.ingress(0), "POST", "/dispatch", &headers, b"").await?;
     assert_eq!(after.outcome(), "done");
-    assert!(!cluster.runs().contains_key("waits"));
+    assert!(!cluster.run_counts().contains_key("waits"));
     cluster.remove_folder();
     Ok(())
 }
@@ -137,7 +137,7 @@
         "hop-unauthenticated",
     ] {
         cluster
-            .wait(cause, async || {
+            .wait_for(cause, async || {
                 let text = nodes[0].node.metrics.encode(0);
                 text.contains(&format!("wisteriaturn_drops_total{{cause=\"{cause}\"}} 1"))
             })
--- a/tests/integration/inside_regions.rs
+++ b/tests/integration/inside_regions.rs
@@ -33,10 +33,10 @@
 }
 
 impl InsideMesh {
-    async fn start(count: usize, places: usize) -> Result<Self> {
+    async fn start(count: usize, data_centres: usize) -> Result<Self> {
         let cluster = TestCluster::prepare(ClusterPlan {
             nodes: count,
-            places,
+            data_centres,
             strict: false,
             tuning: "probe_interval_ms = 100\nprobe_timeout_ms = 200\nsuspect_timeout_ms = 1000"
                 .to_owned(),
@@ -47,7 +47,7 @@
         let lost_log = Arc::new(Mutex::new(HashSet::new()));
         let mut nodes = Vec::new();
         for index in 0..count {
-            let settings = NodeSettings::read(&cluster.settings(index))?;
+            let settings = NodeSettings::read(&cluster.settings_path(index))?;
             let log = log_of(index, &log, &lost_log);
             let links = Arc::clone(&cut);
             let map = AddressMap::new(move |address| {
@@ -107,7 +107,7 @@
         };
         let before = sent();
         self.cluster
-            .wait("probes to be sent", async || sent() > before + bytes)
+            .wait_for("probes to be sent", async || sent() > before + bytes)
             .await
     }
 }
@@ -166,7 +166,7 @@
     let version = mesh.cluster.apply_accepted(0, service("near")).await?;
     for index in near {
         mesh.cluster
-            .wait("the near region to converge", async || {
+            .wait_for("the near region to converge", async || {
                 mesh.version(index) >= version
             })
             .await?;
@@ -190,7 +190,7 @@
     mesh.heal();
     for index in far {
         mesh.cluster
-            .wait("the far region to catch up", async || {
+            .wait_for("the far region to catch up", async || {
                 mesh.version(index) >= version
             })
             .await?;
@@ -198,7 +198,7 @@
     let version = mesh.cluster.apply_accepted(3, service("far")).await?;
     let path = format!("/v1/convergence?version={version}");
     mesh.cluster
-        .wait("all to hold a change of the far region", async || {
+        .wait_for("all to hold a change of the far region", async || {
             let report = client::get(mesh.cluster.admin(0), &path).await;
             report.is_ok_and(|report| report.json()["converged"] == json!(true))
         })
@@ -218,7 +218,7 @@
     }
     mesh.cut_between(&[0], &[1, 2, 3, 4]);
     mesh.cluster
-        .wait("node 0 to be dead to the others", async || {
+        .wait_for("node 0 to be dead to the others", async || {
             (1..5).all(|at| mesh.state(at, 0) == Some(MemberState::Dead))
         })
         .await?;
@@ -229,7 +229,7 @@
     }
     mesh.heal();
     mesh.cluster
-        .wait("node 0 to be back", async || {
+        .wait_for("node 0 to be back", async || {
             (1..5).all(|at| mesh.state(at, 0) == Some(MemberState::Alive))
         })
         .await?;
--- a/tests/integration/process_answers.rs
+++ b/tests/integration/process_answers.rs
@@ -92,17 +92,17 @@
         client::send(ingress, "POST", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the call to run", async || {
-            cluster.runs().contains_key("held")
+        .wait_for("the call to run", async || {
+            cluster.run_counts().contains_key("held")
         })
         .await?;
     // The node beside it prefers no target over the other, so find the one.
     let reply = client::get(cluster.admin(0), "/v1/status").await?;
     let leaving = usize::from(reply.json()["calls_at_gate"] == json!(0));
-    cluster.target_process(leaving).signal("TERM");
+    cluster.target_process(leaving).send_signal("TERM");
     cluster.wait_targets(2, "portal", 1).await?;
     cluster.wait_targets(0, "portal", 1).await?;
-    let other = cluster.target(1 - leaving).to_string();
+    let other = cluster.target_address(1 - leaving).to_string();
     for number in 0..60 {
         let reply = client::get(cluster.ingress(number % 3), "/portal").await?;
         assert_eq!(reply.outcome(), "done", "{}", reply.text());
@@ -139,7 +139,7 @@
     let mut head = [0; 64];
     caller.read_exact(&mut head).await?;
     cluster
-        .wait("the slot to be free", async || {
+        .wait_for("the slot to be free", async || {
             cluster.status(0).await["calls_at_gate"] == json!(0)
         })
         .await?;
--- a/tests/integration/process_config.rs
+++ b/tests/integration/process_config.rs
@@ -84,11 +84,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_outcome_of_a_lost_or_late_append_is_found_by_reading() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan::default()).await?;
-    cluster.set_log(r#"{"lose_answers":1}"#).await?;
+    cluster.set_log_behaviour(r#"{"lose_answers":1}"#).await?;
     let reply = cluster.apply(0, json!([put_service("lost")])).await?;
     assert_eq!(reply.status, 200, "{}", reply.text());
     cluster
-        .set_log(r#"{"late_appends":1,"late_ms":700}"#)
+        .set_log_behaviour(r#"{"late_appends":1,"late_ms":700}"#)
         .await?;
     let reply = cluster.apply(1, json!([put_service("late")])).await?;
     assert_eq!(reply.status, 200, "{}", reply.text());
@@ -105,7 +105,7 @@
     cluster.add_service("portal", json!({})).await?;
     cluster.start_target(0, "portal", 6)?;
     cluster.wait_targets(2, "portal", 1).await?;
-    cluster.set_log(r#"{"outage":true}"#).await?;
+    cluster.set_log_behaviour(r#"{"outage":true}"#).await?;
 
     let reply = cluster.apply(0, json!([put_service("later")])).await?;
     assert_eq!(reply.status, 504, "{}", reply.text());
@@ -122,7 +122,7 @@
     assert_eq!(cluster.status(1).await["version"], json!(1));
 
     // A change can be sent again with its id, because it is folded at most once.
-    cluster.set_log("{}").await?;
+    cluster.set_log_behaviour("{}").await?;
     let body = json!({ "change_id": id, "operations": [put_service("later")] }).to_string();
     let retried = client::post(cluster.admin(0), "/v1/changes", &body).await?;
     assert_eq!(retried.status, 200, "{}", retried.text());
@@ -134,7 +134,7 @@
 async fn a_restart_of_all_nodes_waits_for_the_log_and_restores_the_view() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 4,
-        places: 2,
+        data_centres: 2,
         tuning: "snapshot_every = 3".to_owned(),
         ..ClusterPlan::default()
     })
@@ -146,7 +146,7 @@
     }
     let snapshots = "/streams/snapshots/records?from=0&limit=100";
     cluster
-        .wait("a snapshot in the log", async || {
+        .wait_for("a snapshot in the log", async || {
             let reply = client::get(cluster.log_address(), snapshots).await;
             reply.is_ok_and(|reply| reply.json()["next"].as_u64() >= Some(1))
         })
@@ -155,7 +155,7 @@
     // Trim the records that the snapshot covers, so that only the snapshot can
     // restore them.
     cluster
-        .set_log(r#"{"outage":true,"trim":{"config":3}}"#)
+        .set_log_behaviour(r#"{"outage":true,"trim":{"config":3}}"#)
         .await?;
     for index in 0..4 {
         cluster.kill_node(index);
@@ -163,7 +163,7 @@
     }
     for index in 0..4 {
         cluster
-            .wait("a node that says it is not ready", async || {
+            .wait_for("a node that says it is not ready", async || {
                 let ready = client::get(cluster.admin(index), "/ready").await;
                 ready.is_ok_and(|reply| reply.status == 503)
             })
@@ -172,7 +172,7 @@
         assert_eq!((call.status, call.outcome()), (503, "not-run"));
         assert_eq!(call.header("wisteriaturn-reason"), "not-ready");
     }
-    cluster.set_log("{}").await?;
+    cluster.set_log_behaviour("{}").await?;
     cluster.wait_ready().await?;
     for index in 0..4 {
         assert_eq!(get_resources(&cluster, index).await, before);
@@ -203,7 +203,7 @@
 async fn only_relays_read_the_log_of_an_idle_mesh() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan {
         nodes: 10,
-        places: 2,
+        data_centres: 2,
         ..ClusterPlan::default()
     })
     .await?;
@@ -211,7 +211,7 @@
     // Two relays in each of the two data centres hold a read open for the next
     // record.
     cluster
-        .wait("four nodes to read the log", async || {
+        .wait_for("four nodes to read the log", async || {
             let usage = client::get(cluster.log_address(), "/behaviour").await;
             usage.is_ok_and(|usage| usage.json()["open_reads"] == json!(4))
         })
@@ -224,11 +224,11 @@
 async fn a_node_that_was_paused_or_killed_catches_up_without_regressing() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 5,
-        places: 2,
+        data_centres: 2,
         ..ClusterPlan::default()
     })
     .await?;
-    cluster.node(4).signal("STOP");
+    cluster.node_process(4).send_signal("STOP");
     cluster.kill_node(3);
     let mut version = 0;
     for number in 0..5 {
@@ -237,14 +237,14 @@
             .apply_accepted(0, json!([put_service(&name)]))
             .await?;
     }
-    cluster.node(4).signal("CONT");
+    cluster.node_process(4).send_signal("CONT");
     cluster.start_node(3)?;
     cluster.wait_version(version).await?;
     cluster.wait_ready().await?;
-    assert!(!cluster.has_crashed());
+    assert!(!cluster.has_crashed_node());
     let path = format!("/v1/convergence?version={version}");
     cluster
-        .wait("all nodes to be counted as holders", async || {
+        .wait_for("all nodes to be counted as holders", async || {
             let reply = client::get(cluster.admin(0), &path).await;
             reply.is_ok_and(|reply| reply.json()["holders"] == json!(5))
         })
--- a/tests/integration/process_input.rs
+++ b/tests/integration/process_input.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use wisteriaturn_testing::client;
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
-use wisteriaturn_testing::process::program;
+use wisteriaturn_testing::process::program_path;
 
 /// Sends raw bytes and returns everything received until the server closes the
 /// connection.
@@ -72,7 +72,7 @@
             answer.is_empty() || status.starts_with('4'),
             "{start:?}: {answer}"
         );
-        assert!(!cluster.has_crashed());
+        assert!(!cluster.has_crashed_node());
     }
     let reply = client::get(ingress, "/portal").await?;
     assert_eq!(reply.outcome(), "done");
@@ -91,7 +91,7 @@
          GET /portal HTTP/1.1\r\nhost: x\r\nx-run: smuggled\r\n\r\n";
     let answer = send_raw(cluster.ingress(1), smuggled.as_bytes()).await?;
     assert!(answer.matches("HTTP/1.1 ").count() <= 1, "{answer}");
-    assert!(!cluster.runs().contains_key("smuggled"));
+    assert!(!cluster.run_counts().contains_key("smuggled"));
     cluster.remove_folder();
     Ok(())
 }
@@ -176,7 +176,7 @@
         nodes: 1,
         ..ClusterPlan::default()
     })?;
-    let settings = cluster.settings(0);
+    let settings = cluster.settings_path(0);
     let text = std::fs::read_to_string(&settings)?;
     std::fs::write(&settings, format!("admin_token = \"letmein\"\n{text}"))?;
     cluster.start_log()?;
@@ -235,7 +235,7 @@
     let invalid_settings = cluster.folder.join("wrong.toml");
     std::fs::write(&invalid_settings, "regoin = \"x\"\n")?;
     let run = |name: &str, arguments: &[&str]| -> Result<(Option<i32>, String)> {
-        let output = Command::new(program(name)?).args(arguments).output()?;
+        let output = Command::new(program_path(name)?).args(arguments).output()?;
         let text = [output.stdout, output.stderr].concat();
         Ok((
             output.status.code(),
@@ -248,7 +248,7 @@
         code == Some(2) && text.contains("regoin"),
         "{code:?} {text}"
     );
-    let valid_settings = cluster.settings(0).display().to_string();
+    let valid_settings = cluster.settings_path(0).display().to_string();
     let (code, _) = run("wisteriaturnd", &["--check", "--config", &valid_settings])?;
     assert_eq!(code, Some(0));
     let node = cluster.admin(0).to_string();
@@ -282,7 +282,7 @@
         code == Some(1) && text.contains("cannot reach"),
         "{code:?} {text}"
     );
-    cluster.set_log(r#"{"outage":true}"#).await?;
+    cluster.set_log_behaviour(r#"{"outage":true}"#).await?;
     std::fs::write(&change_file, "[[service]]\nname = \"late\"\npermit = []\n")?;
     let (code, text) = run("wisteriaturn", &["--node", &node, "apply", &change_file])?;
     assert!(
--- a/tests/integration/process_once.rs
+++ b/tests/integration/process_once.rs
@@ -53,7 +53,7 @@
         bodies.insert(reply.text());
     }
     assert_eq!(bodies.len(), 1, "all callers get the one run's answer");
-    assert_eq!(cluster.runs()["job-1"], 1);
+    assert_eq!(cluster.run_counts()["job-1"], 1);
     cluster.remove_folder();
     Ok(())
 }
@@ -64,7 +64,11 @@
     let first = book(cluster.ingress(3), "job-2", &[]).await?;
     assert_eq!(first.outcome(), "done");
     let runner = (0..3)
-        .find(|index| first.text().contains(&cluster.target(*index).to_string()))
+        .find(|index| {
+            first
+                .text()
+                .contains(&cluster.target_address(*index).to_string())
+        })
         .expect("one of the targets answered");
     cluster.kill_node(runner);
     cluster.start_node(runner)?;
@@ -73,7 +77,7 @@
     let again = book(cluster.ingress(3), "job-2", &[]).await?;
 
     assert_eq!(again.outcome(), "unknown", "{}", again.text());
-    assert_eq!(cluster.runs()["job-2"], 1);
+    assert_eq!(cluster.run_counts()["job-2"], 1);
     cluster.remove_folder();
     Ok(())
 }
@@ -82,7 +86,7 @@
 async fn claims_wait_for_the_log_and_are_then_refused() -> Result<()> {
     let cluster = dispatch_cluster(3, 2).await?;
     book(cluster.ingress(2), "job-3", &[]).await?;
-    cluster.set_log(r#"{"outage":true}"#).await?;
+    cluster.set_log_behaviour(r#"{"outage":true}"#).await?;
 
     let refused = book(cluster.ingress(2), "job-4", &[]).await?;
     assert_eq!(
@@ -92,19 +96,19 @@
         refused.text()
     );
     assert_eq!(refused.header("retry-after"), "1");
-    assert!(!cluster.runs().contains_key("job-4"));
+    assert!(!cluster.run_counts().contains_key("job-4"));
     // A call without a key needs no log.
     let plain = client::send(cluster.ingress(2), "POST", "/dispatch", &[], b"").await?;
     assert_eq!(plain.outcome(), "done");
 
-    cluster.set_log("{}").await?;
+    cluster.set_log_behaviour("{}").await?;
     cluster
-        .wait("the refused key to be free again", async || {
+        .wait_for("the refused key to be free again", async || {
             let reply = book(cluster.ingress(2), "job-4", &[]).await;
             reply.is_ok_and(|reply| reply.outcome() == "done")
         })
         .await?;
-    assert_eq!(cluster.runs()["job-4"], 1);
+    assert_eq!(cluster.run_counts()["job-4"], 1);
     cluster.remove_folder();
     Ok(())
 }
@@ -118,13 +122,13 @@
             1 => r#"{"late_appends":1,"late_ms":300}"#,
             _ => r#"{"delay_ms":50}"#,
         };
-        cluster.set_log(behaviour).await?;
+        cluster.set_log_behaviour(behaviour).await?;
         let id = format!("job-5-{number}");
         for copy in 0..3 {
             let reply = book(cluster.ingress(copy), &id, &[]).await?;
             assert_eq!(reply.outcome(), "done", "{}", reply.text());
         }
-        assert_eq!(cluster.runs()[&id], 1);
+        assert_eq!(cluster.run_counts()[&id], 1);
     }
     cluster.remove_folder();
     Ok(())
@@ -137,21 +141,25 @@
     // into it while the gate is frozen.
     let headers = [("x-run", "warm")];
     client::send(cluster.ingress(1), "POST", "/dispatch", &headers, b"").await?;
-    cluster.node(0).signal("STOP");
+    cluster.node_process(0).send_signal("STOP");
     let headers = [("x-run", "job-6"), ("wisteriaturn-deadline-ms", "500")];
     let reply = client::send(cluster.ingress(1), "POST", "/dispatch", &headers, b"").await?;
     let outcome = reply.outcome().to_owned();
     assert_ne!(outcome, "done");
-    cluster.node(0).signal("CONT");
+    cluster.node_process(0).send_signal("CONT");
     cluster.wait_targets(1, "dispatch", 1).await?;
     cluster
-        .wait("a call after the freeze", async || {
+        .wait_for("a call after the freeze", async || {
             let headers = [("x-run", "after")];
             let reply = client::send(cluster.ingress(1), "POST", "/dispatch", &headers, b"").await;
             reply.is_ok_and(|reply| reply.outcome() == "done")
         })
         .await?;
-    let runs = cluster.runs().get("job-6").copied().unwrap_or_default();
+    let runs = cluster
+        .run_counts()
+        .get("job-6")
+        .copied()
+        .unwrap_or_default();
     assert!(runs <= 1);
     if outcome == "not-run" {
         assert_eq!(runs, 0);
@@ -184,11 +192,11 @@
         lost, 2,
         "two targets are lost, then the request is quarantined"
     );
-    assert_eq!(cluster.runs()["bad"], 2);
+    assert_eq!(cluster.run_counts()["bad"], 2);
     for index in 0..4 {
         let bad = [("x-crash", "1"), ("x-run", "bad")];
         cluster
-            .wait("every node to refuse the request", async || {
+            .wait_for("every node to refuse the request", async || {
                 let reply =
                     client::send(cluster.ingress(index), "GET", "/dispatch/bad", &bad, b"").await;
                 reply.is_ok_and(|reply| reply.outcome() == "not-run")
@@ -197,7 +205,7 @@
     }
     let good = client::send(cluster.ingress(0), "GET", "/dispatch/page", &page, b"").await?;
     assert_eq!(good.outcome(), "done", "{}", good.text());
-    assert!(!cluster.has_crashed());
+    assert!(!cluster.has_crashed_node());
     cluster.remove_folder();
     Ok(())
 }
--- a/tests/integration/process_path.rs
+++ b/tests/integration/process_path.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use wisteriaturn_testing::client;
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
-use wisteriaturn_testing::process::program;
+use wisteriaturn_testing::process::program_path;
 
 const RESOURCES: &str = r#"
 [[service]]
@@ -28,7 +28,7 @@
     .await?;
     let file = cluster.folder.join("portal.toml");
     std::fs::write(&file, RESOURCES)?;
-    let applied = Command::new(program("wisteriaturn")?)
+    let applied = Command::new(program_path("wisteriaturn")?)
         .args(["--node", &cluster.admin(0).to_string(), "apply", "--wait"])
         .arg(&file)
         .output()?;
@@ -41,7 +41,7 @@
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(reply.outcome(), "done");
     assert_eq!(reply.json()["path"], json!("/portal/index"));
-    let output = std::fs::read_to_string(cluster.output(1))?;
+    let output = std::fs::read_to_string(cluster.output_path(1))?;
     let decision = output.lines().find(|line| line.contains("event=route"));
     let expected = format!("target={}", cluster.peer(0));
     assert!(
@@ -86,14 +86,14 @@
     ];
     for (request, expected) in cases {
         let why = || {
-            Command::new(program("wisteriaturn")?)
+            Command::new(program_path("wisteriaturn")?)
                 .args(["why", request])
-                .args([cluster.output(0), cluster.output(1)])
+                .args([cluster.output_path(0), cluster.output_path(1)])
                 .output()
                 .map_err(eyre::Report::from)
         };
         cluster
-            .wait("the lines to be written", async || {
+            .wait_for("the lines to be written", async || {
                 why().is_ok_and(|said| {
                     let text = String::from_utf8_lossy(&said.stdout).into_owned();
                     expected.iter().all(|word| text.contains(word))
@@ -101,9 +101,9 @@
             })
             .await?;
     }
-    let unknown = Command::new(program("wisteriaturn")?)
+    let unknown = Command::new(program_path("wisteriaturn")?)
         .args(["why", "nobody"])
-        .arg(cluster.output(0))
+        .arg(cluster.output_path(0))
         .output()?;
     assert_eq!(unknown.status.code(), Some(1));
     cluster.remove_folder();
--- a/tests/integration/process_pipeline.rs
+++ b/tests/integration/process_pipeline.rs
@@ -25,7 +25,7 @@
     }
     stream.write_all(requests.as_bytes()).await?;
     cluster
-        .wait("all three to run", async || cluster.runs().len() == 3)
+        .wait_for("all three to run", async || cluster.run_counts().len() == 3)
         .await?;
     let mut byte = [0];
     let read = stream.try_read(&mut byte);
@@ -40,7 +40,7 @@
     }
     let calls: Vec<usize> = ["first", "second", "third"]
         .iter()
-        .map(|name| cluster.runs().get(*name).copied().unwrap_or_default())
+        .map(|name| cluster.run_counts().get(*name).copied().unwrap_or_default())
         .collect();
     assert_eq!(calls, [1, 1, 1], "each ran once");
     cluster.remove_folder();
--- a/tests/integration/process_routing.rs
+++ b/tests/integration/process_routing.rs
@@ -13,7 +13,7 @@
 async fn two_places() -> Result<TestCluster> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
-        places: 2,
+        data_centres: 2,
         ..ClusterPlan::default()
     })
     .await?;
@@ -44,7 +44,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_stay_near_until_the_near_is_loaded() -> Result<()> {
     let cluster = two_places().await?;
-    let (near, far) = (cluster.target(0).to_string(), cluster.target(1).to_string());
+    let (near, far) = (
+        cluster.target_address(0).to_string(),
+        cluster.target_address(1).to_string(),
+    );
     let mut replies = Vec::new();
     for _ in 0..30 {
         replies.push(client::get(cluster.ingress(0), "/portal").await?);
@@ -70,7 +73,7 @@
     );
     // With the load gone, calls come back.
     cluster
-        .wait("calls to come back", async || {
+        .wait_for("calls to come back", async || {
             let reply = client::get(cluster.ingress(0), "/portal").await;
             reply.is_ok_and(|reply| reply.json()["target"] == json!(near))
         })
@@ -87,9 +90,9 @@
     let version = cluster.apply_accepted(0, policy).await?;
     cluster.wait_version(version).await?;
     // Its node still vouches for it: only the calls show that it hangs.
-    cluster.target_process(0).signal("STOP");
+    cluster.target_process(0).send_signal("STOP");
     cluster
-        .wait("the hanging target to be ejected", async || {
+        .wait_for("the hanging target to be ejected", async || {
             let headers = [("wisteriaturn-deadline-ms", "200")];
             let call = client::send(cluster.ingress(0), "GET", "/portal", &headers, b"");
             let _ = call.await;
@@ -100,7 +103,7 @@
     for _ in 0..20 {
         let reply = client::get(cluster.ingress(0), "/portal").await?;
         assert_eq!(reply.outcome(), "done", "{}", reply.text());
-        assert_eq!(reply.json()["target"], json!(cluster.target(1)));
+        assert_eq!(reply.json()["target"], json!(cluster.target_address(1)));
     }
     cluster.remove_folder();
     Ok(())
--- a/tests/integration/process_stop.rs
+++ b/tests/integration/process_stop.rs
@@ -5,7 +5,7 @@
 
 use eyre::Result;
 use serde_json::json;
-use wisteriaturn_testing::client::{self, HttpLink};
+use wisteriaturn_testing::client::{self, HttpConnection};
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 use wisteriaturn_testing::metrics;
 
@@ -48,10 +48,10 @@
         }));
     }
     // One node stops, then one target leaves by itself.
-    cluster.node(0).signal("TERM");
-    assert_eq!(cluster.node(0).wait().await?, 0);
+    cluster.node_process(0).send_signal("TERM");
+    assert_eq!(cluster.node_process(0).wait().await?, 0);
     cluster.kill_node(0);
-    cluster.target_process(1).signal("TERM");
+    cluster.target_process(1).send_signal("TERM");
     assert_eq!(cluster.target_process(1).wait().await?, 0);
     cluster.wait_targets(3, "portal", 1).await?;
     is_over.store(true, Ordering::Relaxed);
@@ -78,17 +78,17 @@
         }));
     }
     cluster
-        .wait("both calls to run", async || {
-            cluster.runs().get("long") == Some(&2)
+        .wait_for("both calls to run", async || {
+            cluster.run_counts().get("long") == Some(&2)
         })
         .await?;
-    cluster.node(0).signal("TERM");
-    cluster.node(1).signal("TERM");
+    cluster.node_process(0).send_signal("TERM");
+    cluster.node_process(1).send_signal("TERM");
     for call in calls {
         assert_eq!(call.await??.outcome(), "done");
     }
-    assert_eq!(cluster.node(0).wait().await?, 0);
-    assert_eq!(cluster.node(1).wait().await?, 0);
+    assert_eq!(cluster.node_process(0).wait().await?, 0);
+    assert_eq!(cluster.node_process(1).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
@@ -110,7 +110,7 @@
     for call in calls {
         told.push(call.await??);
     }
-    let runs = cluster.runs();
+    let runs = cluster.run_counts();
     let done = told.iter().filter(|(_, outcome)| outcome == "done").count();
     for (id, outcome) in &told {
         assert_ne!(outcome, "unknown");
@@ -154,7 +154,7 @@
     }
     // Each call runs once at each of the four depths: an answer of a target is
     // an answer, whatever its status, and nobody retries it.
-    assert_eq!(cluster.runs()["chain"], calls * 4);
+    assert_eq!(cluster.run_counts()["chain"], calls * 4);
     cluster.remove_folder();
     Ok(())
 }
@@ -188,7 +188,7 @@
     assert_eq!(reply.outcome(), "done");
     assert_eq!(reply.body.len(), size);
     for index in 0..2 {
-        let path = format!("/proc/{}/status", cluster.node_id(index));
+        let path = format!("/proc/{}/status", cluster.node_pid(index));
         let peak = std::fs::read_to_string(path)?
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:"))
@@ -211,8 +211,8 @@
         client::send(busy_ingress, "POST", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the slot to be taken", async || {
-            cluster.runs().contains_key("busy")
+        .wait_for("the slot to be taken", async || {
+            cluster.run_counts().contains_key("busy")
         })
         .await?;
     let gone = tokio::spawn(async move {
@@ -220,7 +220,7 @@
         client::send(ingress, "POST", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the second call to wait", async || {
+        .wait_for("the second call to wait", async || {
             cluster.status(0).await["calls_at_gate"] == json!(2)
         })
         .await?;
@@ -230,7 +230,7 @@
     // A third call is served after the second would have been.
     let headers = [("x-run", "third")];
     client::send(cluster.ingress(1), "POST", "/portal", &headers, b"").await?;
-    assert!(!cluster.runs().contains_key("gone"));
+    assert!(!cluster.run_counts().contains_key("gone"));
     cluster.remove_folder();
     Ok(())
 }
@@ -245,24 +245,24 @@
         client::send(ingress, "GET", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the call to run", async || {
-            cluster.runs().contains_key("held")
+        .wait_for("the call to run", async || {
+            cluster.run_counts().contains_key("held")
         })
         .await?;
     // A connection that has not brought a request yet.
-    let mut link = HttpLink::open(ingress).await?;
-    cluster.node(1).signal("TERM");
+    let mut connection = HttpConnection::open(ingress).await?;
+    cluster.node_process(1).send_signal("TERM");
     cluster
-        .wait("the node to close its ingress", async || {
+        .wait_for("the node to close its ingress", async || {
             let ready = client::get(cluster.admin(1), "/ready").await;
             ready.is_ok_and(|reply| reply.text().contains("Stopping"))
         })
         .await?;
-    let reply = link.send("GET", "/portal", &[], b"").await?;
+    let reply = connection.send("GET", "/portal", &[], b"").await?;
     assert_eq!(reply.outcome(), "done", "{}", reply.text());
     assert_eq!(reply.header("connection"), "close");
     assert_eq!(held.await??.outcome(), "done");
-    assert_eq!(cluster.node(1).wait().await?, 0);
+    assert_eq!(cluster.node_process(1).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
@@ -280,9 +280,9 @@
     for index in 0..2 {
         cluster.wait_targets(index, "portal", 1).await?;
     }
-    cluster.node(0).signal("TERM");
+    cluster.node_process(0).send_signal("TERM");
     cluster
-        .wait("the node to be unready", async || {
+        .wait_for("the node to be unready", async || {
             let ready = client::get(cluster.admin(0), "/ready").await;
             ready.is_ok_and(|reply| reply.status == 503)
         })
@@ -306,8 +306,8 @@
     })?;
     // Without the log it learns no configuration and stays in its start.
     cluster.start_node(0)?;
-    cluster.wait_node_open(0).await?;
-    cluster.node(0).signal("TERM");
+    cluster.wait_node_listening(0).await?;
+    cluster.node_process(0).send_signal("TERM");
     let mut replies = 0;
     while let Ok(reply) = client::get(cluster.ingress(0), "/portal").await {
         assert_eq!(reply.status, 503, "{}", reply.text());
@@ -315,7 +315,7 @@
         replies += 1;
     }
     assert!(replies > 0, "the port stays open for the lame duck's time");
-    assert_eq!(cluster.node(0).wait().await?, 0);
+    assert_eq!(cluster.node_process(0).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
@@ -337,15 +337,15 @@
         client::send(ingress, "GET", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the call to run", async || {
-            cluster.runs().contains_key("longest")
+        .wait_for("the call to run", async || {
+            cluster.run_counts().contains_key("longest")
         })
         .await?;
-    cluster.node(1).signal("TERM");
+    cluster.node_process(1).send_signal("TERM");
     let reply = call.await??;
     assert_eq!((reply.status, reply.outcome()), (502, "unknown"));
     assert_eq!(reply.header("wisteriaturn-reason"), "draining");
-    assert_eq!(cluster.node(1).wait().await?, 0);
+    assert_eq!(cluster.node_process(1).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
@@ -360,7 +360,7 @@
     })
     .await?;
     cluster.add_service("portal", json!({})).await?;
-    let target = cluster.target(0);
+    let target = cluster.target_address(0);
     let announcement = |sequence: u64, draining: bool| {
         json!({
             "service": "portal", "address": target, "slots": 6, "instance": "t-1",
