--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -1,7 +1,7 @@
-//! The admission of a call to the target beside this node.
+//! Admission control for calls to the targets on this VM.
 //!
-//! Everything here can still refuse the call as `not-run`, and each refusal is
-//! logged with what decided.
+//! A call that is refused here has not reached its target, so it is answered
+//! as `not-run`. Every decision is logged together with its inputs.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -19,24 +19,28 @@
 use crate::mesh::hop::GateCall;
 use crate::node::{NodeHandle, NodeStage};
 
-/// What a run holds of its target.
+/// The resources that an admitted call holds while it runs.
 pub(crate) struct AdmittedCall {
-    /// The slot.
+    /// Slot of the target. It is freed when the permit is dropped.
     pub(crate) permit: SlotPermit,
-    /// A connection to the target.
-    pub(crate) link: PooledConnection,
-    /// The target.
+    /// Connection to the target.
+    pub(crate) connection: PooledConnection,
+    /// Target that runs the call.
     pub(crate) target: Arc<LocalTarget>,
 }
 
-/// Admits a call or refuses it, and says so with what decided.
+/// Admits or refuses a call, and logs the decision.
+///
+/// # Errors
+///
+/// Returns the reason if the call is refused.
 pub(crate) async fn admit(
     node: &NodeHandle,
     call: &GateCall,
 ) -> Result<AdmittedCall, RefusalReason> {
-    let came = node.clock.now();
-    let admitted = admit_now(node, call).await;
-    let waited = node.clock.now().saturating_duration_since(came);
+    let arrival = node.clock.now();
+    let admitted = try_admit(node, call).await;
+    let waited = node.clock.now().saturating_duration_since(arrival);
     let reason = admitted
         .as_ref()
         .err()
@@ -53,15 +57,15 @@
         waited_us = waited.as_micros() as u64,
         busy = load.map_or(0, |load| load.busy),
         waiting = load.map_or(0, |load| load.waiting),
-        aim_ms = call.aim.remaining(came).as_millis() as u64,
-        deadline_ms = call.deadline.remaining(came).as_millis() as u64;
+        aim_ms = call.aim.remaining(arrival).as_millis() as u64,
+        deadline_ms = call.deadline.remaining(arrival).as_millis() as u64;
         "gate"
     );
     admitted
 }
 
-/// Checks all that can refuse a call, waits for a slot and for a connection.
-async fn admit_now(node: &NodeHandle, call: &GateCall) -> Result<AdmittedCall, RefusalReason> {
+/// Checks whether the call may run, then waits for a slot and a connection.
+async fn try_admit(node: &NodeHandle, call: &GateCall) -> Result<AdmittedCall, RefusalReason> {
     match node.current_stage() {
         NodeStage::Starting => return Err(RefusalReason::NotReady),
         NodeStage::Draining | NodeStage::Stopping | NodeStage::Closing => {
@@ -73,8 +77,8 @@
         NodeStage::Ready | NodeStage::LameDuck => {}
     }
     let now = node.clock.now();
-    let standing = lock(&node.suspects).status(call.fingerprint, now);
-    if let QuarantineStatus::Quarantined(_) = standing {
+    let status = lock(&node.suspects).status(call.fingerprint, now);
+    if let QuarantineStatus::Quarantined(_) = status {
         return Err(RefusalReason::Quarantined);
     }
     let target = node
@@ -82,48 +86,48 @@
         .get(&call.service)
         .ok_or(RefusalReason::NoTarget)?;
     let until = call.deadline.at();
-    let run = expected_run(node, call, &target);
-    let closes = *lock(&node.gate_closes_at);
-    if closes.is_some_and(|closes| now + run.mul_f64(LIKELY_RUN_FACTOR) > closes) {
+    let run_time = expected_run(node, call, &target);
+    let closing_time = *lock(&node.gate_closes_at);
+    if closing_time.is_some_and(|closing| now + run_time.mul_f64(LIKELY_RUN_FACTOR) > closing) {
         return Err(RefusalReason::Draining);
     }
-    let demand = SlotRequest {
+    let slot_request = SlotRequest {
         rank: QueueRank::new(call.class, call.priority),
         latency_target: call.aim.at(),
         deadline: until,
-        expected_run: run,
+        expected_run: run_time,
         max_wait: call.patience,
     };
-    let acquired = timeout_at(until.into(), target.gate.acquire_for(demand)).await;
+    let acquired = timeout_at(until.into(), target.gate.acquire_for(slot_request)).await;
     let permit = acquired.map_err(|_| RefusalReason::Deadline)??;
     let waited = node.clock.now().duration_since(now);
     node.metrics.gate_wait_seconds.observe(waited.as_secs_f64());
     if !call.deadline.allows_attempt(node.clock.now()) {
         return Err(RefusalReason::Deadline);
     }
-    let link = connect(node, call, &target).await?;
+    let connection = connect(node, call, &target).await?;
     Ok(AdmittedCall {
         permit,
-        link,
+        connection,
         target,
     })
 }
 
-/// Returns how long a call is expected to hold its slot: as long as those of its
-/// route, or as any if there was none yet.
+/// Returns the time for which a call is expected to hold its slot: the average
+/// of its route or, if the route has no samples yet, the average of the target.
 fn expected_run(node: &NodeHandle, call: &GateCall, target: &LocalTarget) -> Duration {
-    let of_route = call
+    let route_average = call
         .route
         .as_ref()
         .and_then(|route| node.run_estimates.measured(route));
-    of_route.map_or_else(|| target.gate.load().mean_run, |held| held.run_time)
+    route_average.map_or_else(|| target.gate.load().mean_run, |average| average.run_time)
 }
 
-/// Notes how long a call held its slot.
+/// Adds the time for which a call held its slot to the average of its route.
 pub(crate) fn record_run(node: &NodeHandle, call: &GateCall, started: Instant) {
     if let Some(route) = &call.route {
-        let took = node.clock.now().saturating_duration_since(started);
-        node.run_estimates.record(route, 0, took);
+        let run_time = node.clock.now().saturating_duration_since(started);
+        node.run_estimates.record(route, 0, run_time);
     }
 }
 
@@ -133,7 +137,7 @@
     target: &LocalTarget,
 ) -> Result<PooledConnection, RefusalReason> {
     match node.target_pool.acquire(target.address).await {
-        Ok(link) => Ok(link),
+        Ok(connection) => Ok(connection),
         Err(error) => {
             log::warn!(
                 event = "target-unreachable",
@@ -143,7 +147,7 @@
                 "gate"
             );
             if matches!(error, LinkError::Unreachable(_)) {
-                // It announces itself again when it is back.
+                // The target announces itself again once it is back.
                 targets::withdraw(node, &call.service).await;
             }
             Err(RefusalReason::Unreachable)
--- a/wisteriaturnd/src/gate/answer.rs
+++ b/wisteriaturnd/src/gate/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that a node gives itself, and answers that were kept.
+//! Responses that the node creates itself, and replays of stored answers.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::http::headers;
 use crate::node::NodeState;
 
-/// Seconds after which a refused caller may come again.
-const RETRY_AFTER_SECONDS: &str = "1";
+/// Default `Retry-After` of a refusal, in seconds.
+const DEFAULT_RETRY_AFTER_SECONDS: &str = "1";
 
-/// Returns the status for an answer that no target gave.
-fn status_of(outcome: CallOutcome, reason: RefusalReason) -> StatusCode {
+/// Returns the status code of a response that did not come from a target.
+fn status_code(outcome: CallOutcome, reason: RefusalReason) -> StatusCode {
     match (outcome, reason) {
         (_, RefusalReason::NoRoute) => StatusCode::NOT_FOUND,
         (_, RefusalReason::BadRequest) => StatusCode::BAD_REQUEST,
@@ -28,8 +28,8 @@
 }
 
 impl NodeState {
-    /// Returns an answer to a caller without a target's, which says after how
-    /// long to come again where the call was not run.
+    /// Returns a response for a call without an answer from a target. If the
+    /// call was not run, its `Retry-After` is set to `after`.
     pub fn refusal(
         &self,
         outcome: CallOutcome,
@@ -41,7 +41,8 @@
         response
     }
 
-    /// Sets the time after which a refused caller may come again.
+    /// Sets `Retry-After` on a response with status 503, in the format that
+    /// callers understand. Leaves other responses unchanged.
     pub fn set_retry_after(&self, response: &mut Response<NodeBody>, after: Duration) {
         if response.status() != StatusCode::SERVICE_UNAVAILABLE {
             return;
@@ -50,29 +51,30 @@
         if self.edge.has_fractional_retry_after {
             headers::set(response.headers_mut(), RETRY_AFTER, format!("{seconds:.3}"));
         } else {
-            let whole = seconds.ceil().max(1.0);
-            headers::set(response.headers_mut(), RETRY_AFTER, format!("{whole:.0}"));
+            let rounded = seconds.ceil().max(1.0);
+            headers::set(response.headers_mut(), RETRY_AFTER, format!("{rounded:.0}"));
         }
     }
 }
 
-/// Returns an answer without a target's.
+/// Returns a response that states the outcome and the reason of a call without
+/// an answer from a target.
 pub fn refusal(outcome: CallOutcome, reason: RefusalReason) -> Response<NodeBody> {
     let text = format!("{outcome}: {reason}\n");
     let mut response = Response::new(full(Bytes::from(text)));
-    *response.status_mut() = status_of(outcome, reason);
+    *response.status_mut() = status_code(outcome, reason);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     headers::set(headers, headers::OUTCOME, outcome);
     headers::set(headers, headers::REASON, reason);
     if response.status() == StatusCode::SERVICE_UNAVAILABLE {
-        let value = HeaderValue::from_static(RETRY_AFTER_SECONDS);
+        let value = HeaderValue::from_static(DEFAULT_RETRY_AFTER_SECONDS);
         response.headers_mut().insert(RETRY_AFTER, value);
     }
     response
 }
 
-/// Returns a kept answer as a response.
+/// Returns a stored answer as a response.
 pub fn stored_response(answer: &StoredAnswer) -> Response<NodeBody> {
     let mut response = Response::new(full(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
@@ -88,17 +90,17 @@
     response
 }
 
-/// Returns what a caller is told after a gate was asked about its call;
-/// `reason` stands for an answer that is not at hand.
+/// Returns the response to a caller whose call was inquired about at its gate.
+/// `reason` is used if the gate does not have the answer.
 pub fn inquiry_response(answer: &InquiryAnswer, reason: RefusalReason) -> Response<NodeBody> {
     match answer {
-        InquiryAnswer::NotRun(why) => refusal(CallOutcome::NotRun, *why),
-        InquiryAnswer::Ended(CallResult::Answered(kept)) => {
-            let mut response = stored_response(kept);
+        InquiryAnswer::NotRun(cause) => refusal(CallOutcome::NotRun, *cause),
+        InquiryAnswer::Ended(CallResult::Answered(stored)) => {
+            let mut response = stored_response(stored);
             headers::set(response.headers_mut(), headers::REPLAYED, true);
             response
         }
-        InquiryAnswer::Ended(CallResult::Refused(why)) => refusal(CallOutcome::NotRun, *why),
+        InquiryAnswer::Ended(CallResult::Refused(cause)) => refusal(CallOutcome::NotRun, *cause),
         InquiryAnswer::Ended(CallResult::Lost | CallResult::TooLarge) | InquiryAnswer::Unknown => {
             refusal(CallOutcome::Unknown, reason)
         }
--- a/wisteriaturnd/src/gate/answer_kind.rs
+++ b/wisteriaturnd/src/gate/answer_kind.rs
@@ -1,31 +1,34 @@
-//! Whether what came over a connection is the target's answer to the call.
+//! Checks that a response is the target's answer to the call that was sent.
 //!
-//! A faulty target may send an answer twice, or late, where the next one is
-//! expected; what stands in front of it may answer in its place. Passing such
-//! an answer on would give a caller the answer of somebody else's call.
+//! A faulty target may send an answer twice, or so late that it arrives in
+//! place of the next one, and a proxy in front of the target may answer for it.
+//! Forwarding such a response would give a caller the answer to another
+//! caller's call.
 
 use hyper::header::{CONTENT_ENCODING, HeaderValue};
 use hyper::{Response, StatusCode};
 
 use crate::http::headers::EdgeHeaders;
 
-/// Where an answer stands.
+/// What a response from a target's address is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// The target's answer to the call.
+    /// The target's answer to this call.
     Own,
-    /// The target says that it did not run the call.
+    /// A response in which the target reports that it did not run the call.
     NotRun,
-    /// Another target than the one expected has the address, and did not run
-    /// the call.
+    /// A response from a different target that now has the address. It did not
+    /// run the call.
     OtherTarget,
-    /// The answer to another call, or not a target's.
+    /// An answer to another call, or a response that does not come from a
+    /// target.
     Foreign,
 }
 
 impl AnswerKind {
-    /// Judges the head of an answer to the call that the caller named
-    /// `request_id`. `may_encode` tells whether the caller accepts encodings.
+    /// Classifies a response by its status and headers. `request_id` is the
+    /// caller's identifier for the attempt. `may_encode` is `true` if the
+    /// request has an `Accept-Encoding` header.
     pub fn classify<B>(
         edge: &EdgeHeaders,
         request_id: Option<&HeaderValue>,
@@ -34,8 +37,8 @@
     ) -> Self {
         let map = response.headers();
         let echoed = map.get(&edge.request_id);
-        if let (Some(asked), Some(echoed)) = (request_id, echoed)
-            && asked != echoed
+        if let (Some(sent), Some(echoed)) = (request_id, echoed)
+            && sent != echoed
         {
             return Self::Foreign;
         }
@@ -45,9 +48,9 @@
         if map.contains_key(&edge.not_run) {
             return Self::NotRun;
         }
-        if let Some(proof) = &edge.response_stamp
+        if let Some(stamp) = &edge.response_stamp
             && response.status().is_success()
-            && !map.contains_key(proof)
+            && !map.contains_key(stamp)
         {
             return Self::Foreign;
         }
@@ -57,7 +60,7 @@
         Self::Own
     }
 
-    /// Returns the name that logs use.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Own => "own",
--- a/wisteriaturnd/src/gate/crash.rs
+++ b/wisteriaturnd/src/gate/crash.rs
@@ -1,4 +1,8 @@
-//! What a lost exchange says about its target and about the request.
+//! Detects crashed targets.
+//!
+//! When an exchange with a target fails, the target's process may have crashed,
+//! and the request may be the cause. The request then becomes suspect, and the
+//! target is withdrawn.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,10 +19,11 @@
 use crate::mesh::news;
 use crate::node::NodeHandle;
 
-/// Time to see whether a target's process is gone after an exchange was lost.
-const CRASH_CHECK_TIME: Duration = Duration::from_millis(200);
+/// Timeout for each step of the check whether a target's process is gone.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Notes how the body of an answer ended.
+/// Updates the suspects after the body of a target's answer ended: a complete
+/// body clears the request, and a failed body starts the check for a crash.
 pub fn handle_body_end(node: NodeHandle, call: &GateCall, address: SocketAddr, end: BodyEnd) {
     let fingerprint = call.fingerprint;
     match end {
@@ -40,29 +45,31 @@
     }
 }
 
-/// Tells whether the process at an address is gone. One that is just ending may
-/// still take a connection, but not keep it.
-async fn is_gone(address: SocketAddr) -> bool {
-    let connecting = TcpStream::connect(address);
-    let Ok(Ok(mut stream)) = timeout(CRASH_CHECK_TIME, connecting).await else {
+/// Returns `true` if there is no live process at an address. A process that is
+/// terminating may still accept a connection, but closes it right away.
+async fn is_process_gone(address: SocketAddr) -> bool {
+    let connect = TcpStream::connect(address);
+    let Ok(Ok(mut stream)) = timeout(CRASH_CHECK_TIMEOUT, connect).await else {
         return true;
     };
     let mut byte = [0];
-    // A live target waits for a request, so only a closed connection is read.
-    timeout(CRASH_CHECK_TIME, stream.read(&mut byte))
+    // A live target sends nothing before it has a request, so the read returns
+    // only if the connection was closed.
+    timeout(CRASH_CHECK_TIMEOUT, stream.read(&mut byte))
         .await
         .is_ok()
 }
 
-/// Looks whether the target's process is gone, and if so holds that against
-/// the request and withdraws the target. Returns whether the request is suspect.
+/// Checks whether the target's process is gone. If it is, withdraws the target
+/// and records the loss against the request, unless a request with the same
+/// fingerprint completed recently. Returns `true` if the request is now suspect.
 pub async fn check_crash(node: &NodeHandle, call: &GateCall, address: SocketAddr) -> bool {
-    if !is_gone(address).await {
+    if !is_process_gone(address).await {
         return false;
     }
     node.metrics.target_losses.inc();
     node.target_pool.close_idle(address);
-    // It announces itself again when it is back.
+    // The target announces itself again once it is back.
     targets::withdraw(node, &call.service).await;
     let fingerprint = call.fingerprint;
     let now = node.clock.now();
--- a/wisteriaturnd/src/gate/mod.rs
+++ b/wisteriaturnd/src/gate/mod.rs
@@ -1,5 +1,5 @@
-//! The gate of the local target: the port that other nodes send calls to, and
-//! the run of one call.
+//! The gate: the port that receives calls from other nodes, and the admission
+//! and execution of each call at a target on this VM.
 
 pub mod admit;
 pub mod answer;
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -1,4 +1,5 @@
-//! The port to which other nodes send calls: one task for each connection.
+//! Receives calls from other nodes and answers their inquiries about calls,
+//! with one task per connection.
 
 use std::time::Duration;
 
@@ -23,8 +24,8 @@
 use crate::mesh::hop::{ASK_REVOKE, GateCall};
 use crate::node::NodeHandle;
 
-/// Bounds of the port. A request has a caller's head with the mesh's own
-/// headers, so its bounds are above those of the ingress.
+/// Limits of the port. They are higher than those of the ingress, since a
+/// request carries the caller's headers and the headers of the mesh.
 const LIMITS: PortLimits = PortLimits {
     max_connections: 4096,
     drop_cause: "hop-connections",
@@ -33,8 +34,8 @@
     is_for_callers: false,
 };
 
-/// Longest wait for a call that runs when a node asks about it.
-const ASK_TIME: Duration = Duration::from_secs(30);
+/// Timeout for the result of a running call about which a node inquires.
+const INQUIRY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Accepts connections until the node stops.
 pub async fn accept_task(node: NodeHandle, listener: TcpListener, tracker: TaskTracker) {
@@ -55,9 +56,9 @@
 }
 
 async fn handle(node: &NodeHandle, request: Request<Incoming>) -> Response<NodeBody> {
-    let question = headers::text(request.headers(), &headers::INQUIRY).map(str::to_owned);
-    if let Some(question) = question {
-        return answer_question(node, &question, &request).await;
+    let inquiry = headers::text(request.headers(), &headers::INQUIRY).map(str::to_owned);
+    if let Some(inquiry) = inquiry {
+        return handle_inquiry(node, &inquiry, &request).await;
     }
     match read_call(node, &request) {
         Some(call) => {
@@ -73,13 +74,14 @@
     }
 }
 
-/// Reads a call from the headers of a request between nodes.
+/// Parses the mesh headers of a request from another node. Returns `None` if a
+/// required header is missing or malformed.
 fn read_call(node: &NodeHandle, request: &Request<Incoming>) -> Option<GateCall> {
     let map = request.headers();
     let service: ServiceName = headers::parsed(map, &headers::SERVICE)?;
     let is_idempotent: bool = headers::parsed(map, &headers::IDEMPOTENT)?;
-    let left = headers::parsed_millis(map, &headers::DEADLINE_MS)?;
-    let aim = headers::parsed_millis(map, &headers::LATENCY_TARGET_MS);
+    let remaining = headers::parsed_millis(map, &headers::DEADLINE_MS)?;
+    let latency_target = headers::parsed_millis(map, &headers::LATENCY_TARGET_MS);
     let key = map.get(headers::IDEMPOTENCY_KEY).filter(|_| !is_idempotent);
     Some(GateCall {
         call: headers::parsed(map, &headers::CALL)?,
@@ -87,8 +89,8 @@
         priority: headers::parsed(map, &headers::PRIORITY).unwrap_or_default(),
         request_id: map.get(&node.edge.request_id).cloned(),
         route: headers::parsed(map, &headers::ROUTE),
-        aim: CallDeadline::for_call(&node.clock, left, aim),
-        deadline: CallDeadline::for_call(&node.clock, left, None),
+        aim: CallDeadline::for_call(&node.clock, remaining, latency_target),
+        deadline: CallDeadline::for_call(&node.clock, remaining, None),
         patience: headers::parsed(map, &headers::MAX_WAIT_MS)
             .map_or(Duration::MAX, Duration::from_millis),
         is_idempotent,
@@ -98,40 +100,42 @@
     })
 }
 
-async fn answer_question(
+async fn handle_inquiry(
     node: &NodeHandle,
-    question: &str,
+    inquiry: &str,
     request: &Request<Incoming>,
 ) -> Response<NodeBody> {
     let answer = match headers::parsed::<CallId>(request.headers(), &headers::CALL) {
-        Some(call) => inquire(node, question, call).await,
+        Some(call) => inquire(node, inquiry, call).await,
         None => InquiryAnswer::Unknown,
     };
     let body = encode(&answer).unwrap_or_default();
     Response::new(full(Bytes::from(body)))
 }
 
-/// Returns what this gate knows of a call, waiting for one that runs.
-pub async fn inquire(node: &NodeHandle, question: &str, call: CallId) -> InquiryAnswer {
-    let inquiry = if question == ASK_REVOKE {
+/// Returns what this gate knows about a call. If the call is running, waits for
+/// its result. If `inquiry` is [`ASK_REVOKE`], a call that has not started is
+/// revoked.
+pub async fn inquire(node: &NodeHandle, inquiry: &str, call: CallId) -> InquiryAnswer {
+    let status = if inquiry == ASK_REVOKE {
         node.ledger.revoke(call)
     } else {
         node.ledger.status(call)
     };
-    match inquiry {
+    match status {
         CallStatus::NotRun(reason) => InquiryAnswer::NotRun(reason),
-        CallStatus::Ended(end) => {
+        CallStatus::Ended(result) => {
             node.metrics.handovers.inc();
-            InquiryAnswer::Ended(end.as_ref().clone())
+            InquiryAnswer::Ended(result.as_ref().clone())
         }
         CallStatus::Unknown => InquiryAnswer::Unknown,
         CallStatus::Running(mut receiver) => {
-            let ended = timeout(ASK_TIME, receiver.wait_for(Option::is_some)).await;
+            let ended = timeout(INQUIRY_TIMEOUT, receiver.wait_for(Option::is_some)).await;
             match ended {
-                Ok(Ok(end)) => {
+                Ok(Ok(result)) => {
                     node.metrics.handovers.inc();
-                    end.as_ref().map_or(InquiryAnswer::Unknown, |end| {
-                        InquiryAnswer::Ended(end.as_ref().clone())
+                    result.as_ref().map_or(InquiryAnswer::Unknown, |result| {
+                        InquiryAnswer::Ended(result.as_ref().clone())
                     })
                 }
                 Ok(Err(_)) | Err(_) => InquiryAnswer::Unknown,
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -1,10 +1,10 @@
-//! The run of one call at the gate of its target.
+//! Runs calls at the gate of their target.
 //!
-//! Everything up to [`CallGuard::start`] can still be refused as `not-run`;
-//! everything after it cannot. An idempotent call runs in the task of its
-//! connection, so it ends when its node goes away. Any other call runs in a
-//! task of its own: a cut link must not end it half way, and its answer is
-//! kept for a node that asks.
+//! A call can be refused as `not-run` only until [`CallGuard::start`]. An
+//! idempotent call runs in the task of its connection and is cancelled when the
+//! calling node disconnects. Any other call runs in its own task, so that a
+//! broken connection does not interrupt it, and its answer is stored for nodes
+//! that inquire about the call.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -32,8 +32,8 @@
 use crate::mesh::hop::{self, ASK_INQUIRE, GateCall};
 use crate::node::NodeHandle;
 
-/// Runs a call, or refuses it. The answer carries its outcome and how full
-/// the gate is.
+/// Runs or refuses a call. Headers of the response state the outcome of the call
+/// and the load of the gate.
 pub async fn run(
     node: &NodeHandle,
     call: GateCall,
@@ -45,7 +45,7 @@
     } else {
         let node = node.clone();
         let task = tokio::spawn(async move { run_once(&node, call, request).await });
-        // A task that panicked may have sent the call.
+        // If the task panicked, the call may have been sent.
         task.await
             .unwrap_or_else(|_| refusal(CallOutcome::Unknown, RefusalReason::TargetLost))
     };
@@ -53,8 +53,8 @@
         let load = target.gate.load();
         let map = response.headers_mut();
         headers::set(map, headers::BUSY, load.busy + load.waiting);
-        if let Some(held) = route.and_then(|route| node.run_estimates.measured(&route)) {
-            headers::set(map, headers::MEAN_RUN_US, held.run_time.as_micros());
+        if let Some(mean) = route.and_then(|route| node.run_estimates.measured(&route)) {
+            headers::set(map, headers::MEAN_RUN_US, mean.run_time.as_micros());
         }
         headers::set(
             map,
@@ -76,30 +76,30 @@
     };
     let AdmittedCall {
         permit,
-        link,
+        connection,
         target,
     } = admitted;
     let address = target.address;
     let started = node.clock.now();
     node.metrics.target_runs.inc();
-    let (response, link) = match send(node, call, link, &target, request).await {
-        SendOutcome::Answered(response, link) => (*response, link),
+    let (response, connection) = match send(node, call, connection, &target, request).await {
+        SendOutcome::Answered(response, connection) => (*response, connection),
         SendOutcome::NotRun => return refusal(CallOutcome::NotRun, RefusalReason::TargetBusy),
         SendOutcome::Foreign => return refusal(CallOutcome::Unknown, RefusalReason::TargetLost),
-        SendOutcome::Lost(reason) => return lost(node, call, address, reason).await,
+        SendOutcome::Lost(reason) => return lost_response(node, call, address, reason).await,
     };
     let (mut parts, body) = response.into_parts();
     headers::strip_hop_by_hop(&mut parts.headers);
     headers::strip_mesh(&mut parts.headers);
     headers::set(&mut parts.headers, headers::OUTCOME, CallOutcome::Done);
-    let (owner, call) = (node.clone(), call.clone());
-    let stall = node.settings.tuning.stall_timeout;
-    let body = pooled_body(body, link, &node.target_pool, stall, move |end| {
+    let (owned_node, call) = (node.clone(), call.clone());
+    let timeout = node.settings.tuning.stall_timeout;
+    let body = pooled_body(body, connection, &node.target_pool, timeout, move |end| {
         drop(permit);
         if end == BodyEnd::Whole {
-            record_run(&owner, &call, started);
+            record_run(&owned_node, &call, started);
         }
-        handle_body_end(owner, &call, address, end);
+        handle_body_end(owned_node, &call, address, end);
     });
     Response::from_parts(parts, body)
 }
@@ -121,7 +121,7 @@
                 return ask_holder(node, &call, holder).await;
             }
             ClaimOutcome::Unavailable => {
-                // The claim may still reach the log, so it is freed as well.
+                // The claim may still be written to the log, so release it.
                 return refuse(node, &call, guard, RefusalReason::ClaimUnavailable);
             }
         }
@@ -132,7 +132,7 @@
     }
 }
 
-/// Ends a call that was not started.
+/// Refuses a call that has not started and releases its claim.
 fn refuse(
     node: &NodeHandle,
     call: &GateCall,
@@ -159,12 +159,12 @@
     node.metrics.target_runs.inc();
     let AdmittedCall {
         permit,
-        link,
+        connection,
         target,
     } = admitted;
     let address = target.address;
     let started = node.clock.now();
-    let sent = send(node, &call, link, &target, request).await;
+    let outcome = send(node, &call, connection, &target, request).await;
     let run = StartedRun {
         node: node.clone(),
         call,
@@ -173,15 +173,15 @@
         address,
         started,
     };
-    match sent {
-        SendOutcome::Answered(response, link) => run.deliver(*response, link).await,
-        SendOutcome::NotRun => run.take_back(),
-        SendOutcome::Foreign => run.lose_unchecked(),
-        SendOutcome::Lost(reason) => run.lose(reason).await,
+    match outcome {
+        SendOutcome::Answered(response, connection) => run.respond(*response, connection).await,
+        SendOutcome::NotRun => run.finish_not_run(),
+        SendOutcome::Foreign => run.finish_foreign(),
+        SendOutcome::Lost(reason) => run.finish_lost(reason).await,
     }
 }
 
-/// A call that is not idempotent and was sent to its target.
+/// A non-idempotent call that was sent to its target.
 struct StartedRun {
     node: NodeHandle,
     call: GateCall,
@@ -192,23 +192,23 @@
 }
 
 impl StartedRun {
-    /// Ends a run without a whole answer.
-    async fn lose(self, reason: RefusalReason) -> Response<NodeBody> {
+    /// Ends the run without a complete answer.
+    async fn finish_lost(self, reason: RefusalReason) -> Response<NodeBody> {
         drop(self.permit);
         self.guard.finish(CallResult::Lost);
-        lost(&self.node, &self.call, self.address, reason).await
+        lost_response(&self.node, &self.call, self.address, reason).await
     }
 
-    /// Ends a run whose exchange brought another call's answer. The target
-    /// lives, so there is no crash to look for.
-    fn lose_unchecked(self) -> Response<NodeBody> {
+    /// Ends the run after a response that is not the answer to this call. The
+    /// target is alive, so it is not checked for a crash.
+    fn finish_foreign(self) -> Response<NodeBody> {
         drop(self.permit);
         self.guard.finish(CallResult::Lost);
         refusal(CallOutcome::Unknown, RefusalReason::TargetLost)
     }
 
-    /// Ends a call of which its target said that it did not run it.
-    fn take_back(self) -> Response<NodeBody> {
+    /// Ends the run after the target reported that it did not run the call.
+    fn finish_not_run(self) -> Response<NodeBody> {
         drop(self.permit);
         self.guard.finish_not_run(RefusalReason::TargetBusy);
         if let Some(key) = self.call.key {
@@ -217,39 +217,42 @@
         refusal(CallOutcome::NotRun, RefusalReason::TargetBusy)
     }
 
-    /// Reads the answer, so that it can be kept until it is whole.
-    async fn deliver(
+    /// Stores the answer if it fits into [`MAX_STORED_BODY_BYTES`], and streams it
+    /// otherwise.
+    async fn respond(
         self,
         response: Response<Incoming>,
-        link: PooledConnection,
+        connection: PooledConnection,
     ) -> Response<NodeBody> {
         let (parts, body) = response.into_parts();
-        let kept = StoredAnswer {
+        let answer = StoredAnswer {
             status: parts.status.as_u16(),
-            headers: kept_headers(parts.headers),
+            headers: stored_headers(parts.headers),
             body: Bytes::new(),
         };
-        let stall = self.node.settings.tuning.stall_timeout;
-        let body = pooled_body(body, link, &self.node.target_pool, stall, |_| ());
+        let timeout = self.node.settings.tuning.stall_timeout;
+        let body = pooled_body(body, connection, &self.node.target_pool, timeout, |_| ());
         let until = self.call.deadline.at().into();
         match timeout_at(until, BufferedBody::read(body, MAX_STORED_BODY_BYTES)).await {
-            Ok(Ok(BufferedBody::Whole(body))) => self.keep(StoredAnswer { body, ..kept }),
-            Ok(Ok(large)) => self.stream(&kept, large),
-            Ok(Err(_)) => self.lose(RefusalReason::TargetLost).await,
-            Err(_) => self.lose(RefusalReason::Deadline).await,
+            Ok(Ok(BufferedBody::Whole(body))) => self.store(StoredAnswer { body, ..answer }),
+            Ok(Ok(large)) => self.stream(&answer, large),
+            Ok(Err(_)) => self.finish_lost(RefusalReason::TargetLost).await,
+            Err(_) => self.finish_lost(RefusalReason::Deadline).await,
         }
     }
 
-    fn keep(self, kept: StoredAnswer) -> Response<NodeBody> {
+    /// Stores a complete answer and returns it as the response.
+    fn store(self, answer: StoredAnswer) -> Response<NodeBody> {
         drop(self.permit);
         record_run(&self.node, &self.call, self.started);
-        let response = stored_response(&kept);
-        self.guard.finish(CallResult::Answered(kept));
+        let response = stored_response(&answer);
+        self.guard.finish(CallResult::Answered(answer));
         handle_body_end(self.node, &self.call, self.address, BodyEnd::Whole);
         response
     }
 
-    /// Streams an answer that is too large to keep; a lost link loses it.
+    /// Streams an answer that is too large to store. If the connection to the
+    /// calling node breaks, the answer is lost.
     fn stream(self, head: &StoredAnswer, mut large: BufferedBody) -> Response<NodeBody> {
         let rest = large
             .take_for_attempt()
@@ -263,7 +266,9 @@
     }
 }
 
-fn kept_headers(mut map: hyper::HeaderMap) -> Vec<(Bytes, Bytes)> {
+/// Returns the headers to store with an answer: all except `Content-Length` and
+/// those of the connection and of the mesh.
+fn stored_headers(mut map: hyper::HeaderMap) -> Vec<(Bytes, Bytes)> {
     headers::strip_hop_by_hop(&mut map);
     headers::strip_mesh(&mut map);
     map.remove(hyper::header::CONTENT_LENGTH);
@@ -277,8 +282,10 @@
         .collect()
 }
 
-/// Answers a call whose exchange with the target was lost.
-async fn lost(
+/// Returns the response to a call whose exchange with the target failed. If the
+/// connection broke, checks whether the target has crashed; a call that may have
+/// caused a crash must not be retried.
+async fn lost_response(
     node: &NodeHandle,
     call: &GateCall,
     address: SocketAddr,
@@ -301,9 +308,9 @@
     node.claims.claim(key, holder, call.deadline.at()).await
 }
 
-/// Answers with the result of the run that holds the key.
+/// Responds with the result of the run that holds the idempotency key.
 async fn ask_holder(node: &NodeHandle, call: &GateCall, holder: ClaimHolder) -> Response<NodeBody> {
-    let asked = async {
+    let inquiry = async {
         if holder.hop == node.settings.hop {
             if holder.boot_id != node.boot_id {
                 return InquiryAnswer::Unknown;
@@ -314,7 +321,7 @@
             .await
             .unwrap_or(InquiryAnswer::Unknown)
     };
-    let answer = timeout_at(call.deadline.at().into(), asked)
+    let answer = timeout_at(call.deadline.at().into(), inquiry)
         .await
         .unwrap_or(InquiryAnswer::Unknown);
     inquiry_response(&answer, RefusalReason::ClaimLost)
--- a/wisteriaturnd/src/gate/send.rs
+++ b/wisteriaturnd/src/gate/send.rs
@@ -1,5 +1,5 @@
-//! The exchange of an admitted call with its target, and the judgement whether
-//! what came back is the answer to it.
+//! Sends admitted calls to their target and verifies that the response is the
+//! answer to the call.
 
 use hyper::body::Incoming;
 use hyper::header::ACCEPT_ENCODING;
@@ -16,33 +16,34 @@
 use crate::mesh::hop::GateCall;
 use crate::node::NodeHandle;
 
-/// Bytes of a target's refusal that are read to keep its connection.
-const REFUSAL_LIMIT: usize = 64 * 1024;
+/// Maximum size in bytes of a target's refusal that is read so that its
+/// connection can be reused.
+const MAX_REFUSAL_BYTES: usize = 64 * 1024;
 
-/// How the exchange of a started call ended.
+/// The result of sending a started call to its target.
 pub(crate) enum SendOutcome {
     /// The target answered this call.
     Answered(Box<Response<Incoming>>, PooledConnection),
-    /// The target says that it did not run the call.
+    /// The target reported that it did not run the call.
     NotRun,
-    /// What came belongs to another call or did not come from the target.
+    /// The response belongs to another call or did not come from a target.
     Foreign,
-    /// The exchange was lost.
+    /// No answer arrived, and the call may have run.
     Lost(RefusalReason),
 }
 
-/// Sends a started call. A connection that the target had closed meanwhile
-/// took no byte, and the call goes out over a new one.
+/// Sends a started call to its target. If the target has closed the reused
+/// connection before any byte was sent, the call is sent again over a new one.
 pub(crate) async fn send(
     node: &NodeHandle,
     call: &GateCall,
-    mut link: PooledConnection,
+    mut connection: PooledConnection,
     target: &LocalTarget,
     mut request: Request<NodeBody>,
 ) -> SendOutcome {
     let map = request.headers_mut();
-    let left = call.deadline.remaining(node.clock.now()).as_millis();
-    headers::set(map, node.edge.deadline_ms.clone(), left);
+    let remaining = call.deadline.remaining(node.clock.now()).as_millis();
+    headers::set(map, node.edge.deadline_ms.clone(), remaining);
     headers::set(map, headers::CALL, call.call);
     if let Some(instance) = &target.instance {
         headers::set(map, node.edge.expected_instance.clone(), instance);
@@ -50,15 +51,15 @@
     let may_encode = map.contains_key(ACCEPT_ENCODING);
     let until = call.deadline.at().into();
     loop {
-        let sent = timeout_at(until, exchange::send(&mut link, request)).await;
+        let sent = timeout_at(until, exchange::send(&mut connection, request)).await;
         match sent {
             Ok(Ok(response)) => {
-                return judge(node, call, target, may_encode, response, link).await;
+                return check(node, call, target, may_encode, response, connection).await;
             }
-            Ok(Err(ExchangeError::Unsent(unsent))) if link.is_reused => {
+            Ok(Err(ExchangeError::Unsent(unsent))) if connection.is_reused => {
                 request = *unsent;
-                link = match node.target_pool.open(target.address).await {
-                    Ok(link) => link,
+                connection = match node.target_pool.open(target.address).await {
+                    Ok(connection) => connection,
                     Err(_) => return SendOutcome::Lost(RefusalReason::TargetLost),
                 };
             }
@@ -68,53 +69,61 @@
     }
 }
 
-/// Tells whether an answer is the target's own answer to this call.
-async fn judge(
+/// Checks whether a response is the target's answer to this call, and logs it if
+/// it is not.
+async fn check(
     node: &NodeHandle,
     call: &GateCall,
     target: &LocalTarget,
     may_encode: bool,
     response: Response<Incoming>,
-    link: PooledConnection,
+    connection: PooledConnection,
 ) -> SendOutcome {
-    let standing =
-        AnswerKind::classify(&node.edge, call.request_id.as_ref(), may_encode, &response);
-    if standing != AnswerKind::Own {
+    let kind = AnswerKind::classify(&node.edge, call.request_id.as_ref(), may_encode, &response);
+    if kind != AnswerKind::Own {
         log::warn!(
             event = "answer-refused",
             request:% = call.request_text(),
             service:% = call.service,
             target:% = target.address,
-            standing:% = standing.name(),
+            standing:% = kind.name(),
             status = response.status().as_u16();
             "gate"
         );
     }
-    match standing {
-        AnswerKind::Own => SendOutcome::Answered(Box::new(response), link),
+    match kind {
+        AnswerKind::Own => SendOutcome::Answered(Box::new(response), connection),
         AnswerKind::Foreign => {
-            // The next answer on this connection may be ours, or anything.
+            // The next response on this connection may belong to any call, so
+            // it is not reused. Idle connections may be in the same state.
             node.target_pool.close_idle(target.address);
             SendOutcome::Foreign
         }
         AnswerKind::NotRun => {
-            finish_refusal(node, response, link);
+            drain_refusal(node, response, connection);
             SendOutcome::NotRun
         }
         AnswerKind::OtherTarget => {
-            // Another target took the address over; it will announce itself.
+            // Another target has taken over the address and will announce itself.
             targets::withdraw(node, &call.service).await;
             SendOutcome::NotRun
         }
     }
 }
 
-/// Reads the rest of a target's refusal, so that its connection can be kept.
-fn finish_refusal(node: &NodeHandle, response: Response<Incoming>, link: PooledConnection) {
-    let stall = node.settings.tuning.stall_timeout;
-    let body = pooled_body(response.into_body(), link, &node.target_pool, stall, |_| ());
+/// Reads the rest of a target's refusal, so that its connection can be reused.
+fn drain_refusal(node: &NodeHandle, response: Response<Incoming>, connection: PooledConnection) {
+    let timeout = node.settings.tuning.stall_timeout;
+    let body = pooled_body(
+        response.into_body(),
+        connection,
+        &node.target_pool,
+        timeout,
+        |_| (),
+    );
     tokio::spawn(async move {
-        // A body that fails closes its connection, which is all there is to do.
-        let _ = BufferedBody::read(body, REFUSAL_LIMIT).await;
+        // If reading fails, the connection is closed and there is nothing to
+        // clean up.
+        let _ = BufferedBody::read(body, MAX_REFUSAL_BYTES).await;
     });
 }
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -1,8 +1,9 @@
-//! The targets beside this node: announced, kept alive and left.
+//! The targets on this VM.
 //!
-//! There is no list of targets. A target announces itself to the node on its
-//! own VM, again and again; when it stops, the node withdraws it. The node
-//! vouches for it towards the others through its own member record.
+//! Targets are not configured anywhere. A target announces itself periodically
+//! to the node on its VM, and the node withdraws it when the announcements
+//! stop. The node publishes its targets to other nodes in its own member
+//! record.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,35 +20,36 @@
 use crate::mesh::news;
 use crate::node::{NodeHandle, NodeStage, NodeState};
 
-/// What a target says when it announces itself.
+/// An announcement that a target sends to its node.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetAnnouncement {
-    /// Service that it serves.
+    /// Service that the target provides.
     pub service: ServiceName,
-    /// Address on which it takes HTTP.
+    /// Address at which the target serves HTTP.
     pub address: SocketAddr,
-    /// Calls that it runs at once.
+    /// Maximum number of calls that the target runs concurrently.
     pub slots: SlotCount,
-    /// Whether it leaves.
+    /// Whether the target is draining.
     #[serde(default)]
     pub draining: bool,
-    /// Name of the target, by which it knows the calls that are for it.
+    /// Instance name of the target. Calls carry it, so that the target can refuse
+    /// those meant for another instance.
     #[serde(default)]
     pub instance: Option<InstanceId>,
-    /// Start of the target, in milliseconds since the Unix epoch: orders its
-    /// lives.
+    /// Start time of the target, in milliseconds since the Unix epoch. It tells
+    /// the runs of a restarted target apart and orders them.
     #[serde(default)]
     pub incarnation: Incarnation,
-    /// Number of the announcement within the life.
+    /// Number of the announcement within the incarnation.
     #[serde(default)]
     pub sequence: Sequence,
 }
 
 impl TargetAnnouncement {
-    /// Returns what orders this announcement among others, if the target names
-    /// itself.
-    fn statement(&self) -> Option<AnnouncementSummary> {
+    /// Returns the parts that decide whether the announcement is outdated, or
+    /// `None` if the target has no instance name.
+    fn summary(&self) -> Option<AnnouncementSummary> {
         Some(AnnouncementSummary {
             instance: self.instance.clone()?,
             incarnation: self.incarnation,
@@ -58,24 +60,24 @@
     }
 }
 
-/// Why an announcement was refused.
+/// The reason why an announcement was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum RegistrationError {
-    /// The configuration in force has no such service.
+    /// The current configuration has no such service.
     NoService(ServiceName),
-    /// The service does not permit the address.
+    /// The service does not permit targets at this address.
     NotPermitted(SocketAddr),
     /// The number of slots is out of range.
     Slots {
-        /// Slots announced.
+        /// Number of slots announced.
         announced: SlotCount,
-        /// Most that the service allows.
+        /// Maximum number that the service allows.
         allowed: SlotCount,
     },
-    /// The node vouches for as many targets as it may.
+    /// The node already has [`MAX_TARGETS`] targets.
     Full,
-    /// A later announcement was taken before, or the target has left.
+    /// A later announcement was accepted before, or the target has left.
     Stale,
 }
 
@@ -92,9 +94,9 @@
                     "slots = {announced} is not allowed; allowed: 1 to {allowed}"
                 )
             }
-            RegistrationError::Stale => write!(f, "a later announcement was taken before"),
+            RegistrationError::Stale => write!(f, "outdated announcement, or the target has left"),
             RegistrationError::Full => {
-                write!(f, "a node vouches for at most {MAX_TARGETS} targets")
+                write!(f, "a node can have at most {MAX_TARGETS} targets")
             }
         }
     }
@@ -102,35 +104,35 @@
 
 impl std::error::Error for RegistrationError {}
 
-/// A target beside this node.
+/// A target on this VM.
 #[derive(Debug)]
 pub struct LocalTarget {
-    /// Address on which it takes HTTP.
+    /// Address at which the target serves HTTP.
     pub address: SocketAddr,
-    /// Its name, if it gave one.
+    /// Instance name of the target, if it announced one.
     pub instance: Option<InstanceId>,
-    /// Its life.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// Its slots.
+    /// Gate that limits the concurrent calls.
     pub gate: SlotGate,
     slots: Mutex<SlotCount>,
     is_draining: Mutex<bool>,
-    expires: Mutex<Instant>,
+    expires_at: Mutex<Instant>,
 }
 
-/// The targets beside this node by service.
+/// The targets on this VM by service.
 #[derive(Debug, Default)]
 pub struct LocalTargets {
     targets: Mutex<BTreeMap<ServiceName, Arc<LocalTarget>>>,
 }
 
 impl LocalTargets {
-    /// Returns no targets.
+    /// Returns an empty set of targets.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the target of a service.
+    /// Returns the target that provides a service.
     pub fn get(&self, service: &ServiceName) -> Option<Arc<LocalTarget>> {
         lock(&self.targets).get(service).cloned()
     }
@@ -143,7 +145,8 @@
             .collect()
     }
 
-    /// Returns the number of calls that run or wait at this node's gates.
+    /// Returns the number of calls that are running or waiting at the gates of all
+    /// targets.
     pub fn in_flight(&self) -> usize {
         self.all()
             .iter()
@@ -154,14 +157,16 @@
             .sum()
     }
 
-    fn records(&self, is_leaving: bool) -> Vec<TargetRecord> {
+    /// Returns the targets as published in the member record. If the node is
+    /// draining, all its targets are published as draining.
+    fn records(&self, is_node_draining: bool) -> Vec<TargetRecord> {
         self.all()
             .into_iter()
             .map(|(service, target)| TargetRecord {
                 service,
                 address: target.address,
                 slots: *lock(&target.slots),
-                state: if is_leaving || *lock(&target.is_draining) {
+                state: if is_node_draining || *lock(&target.is_draining) {
                     TargetState::Draining
                 } else {
                     TargetState::Serving
@@ -171,25 +176,26 @@
     }
 }
 
-/// Takes an announcement of a target on this VM.
+/// Registers a target on this VM or renews its registration.
 ///
 /// # Errors
 ///
-/// [`RegistrationError`] says what is not allowed.
+/// Returns a [`RegistrationError`] if the announcement is not allowed or is
+/// outdated.
 pub async fn register(
     node: &NodeHandle,
     announcement: &TargetAnnouncement,
 ) -> Result<(), RegistrationError> {
     let now = node.clock.now();
     check_announcement(node, announcement)?;
-    if let Some(statement) = announcement.statement()
-        && !lock(&node.announcements).accept(statement)
+    if let Some(summary) = announcement.summary()
+        && !lock(&node.announcements).accept(summary)
     {
         return Err(RegistrationError::Stale);
     }
-    let expires = now + node.settings.tuning.announce_ttl;
-    let target = enter_target(node, announcement, expires)?;
-    *lock(&target.expires) = expires;
+    let expires_at = now + node.settings.tuning.announce_ttl;
+    let target = find_or_insert(node, announcement, expires_at)?;
+    *lock(&target.expires_at) = expires_at;
     *lock(&target.slots) = announcement.slots;
     target.gate.set_slots(announcement.slots.0);
     set_draining(&target, announcement.draining);
@@ -219,26 +225,29 @@
     Ok(())
 }
 
-fn enter_target(
+/// Returns the registered target if the announcement comes from it. Otherwise,
+/// registers a new target, which replaces any other target of the service or at
+/// the address.
+fn find_or_insert(
     node: &NodeState,
     announcement: &TargetAnnouncement,
-    expires: Instant,
+    expires_at: Instant,
 ) -> Result<Arc<LocalTarget>, RegistrationError> {
     let mut targets = lock(&node.targets.targets);
-    if let Some(held) = targets.get(&announcement.service)
-        && held.address == announcement.address
-        && held.instance == announcement.instance
-        && held.incarnation == announcement.incarnation
+    if let Some(current) = targets.get(&announcement.service)
+        && current.address == announcement.address
+        && current.instance == announcement.instance
+        && current.incarnation == announcement.incarnation
     {
-        return Ok(Arc::clone(held));
+        return Ok(Arc::clone(current));
     }
-    // What served at this address before is gone: its connections and its
-    // queue must not be taken for those of the newcomer.
+    // The target that had this address before is gone. The new target must not
+    // inherit its connections and its queue.
     node.target_pool.close_idle(announcement.address);
-    targets.retain(|service, held| {
-        let is_kept = held.address != announcement.address && *service != announcement.service;
+    targets.retain(|service, other| {
+        let is_kept = other.address != announcement.address && *service != announcement.service;
         if !is_kept {
-            held.gate.drain();
+            other.gate.drain();
         }
         is_kept
     });
@@ -252,18 +261,18 @@
         gate: SlotGate::new(announcement.slots.0, Arc::clone(&node.clock)),
         slots: Mutex::new(announcement.slots),
         is_draining: Mutex::new(false),
-        expires: Mutex::new(expires),
+        expires_at: Mutex::new(expires_at),
     });
     targets.insert(announcement.service.clone(), Arc::clone(&target));
     Ok(target)
 }
 
 fn set_draining(target: &LocalTarget, is_draining: bool) {
-    let mut held = lock(&target.is_draining);
-    if *held == is_draining {
+    let mut state = lock(&target.is_draining);
+    if *state == is_draining {
         return;
     }
-    *held = is_draining;
+    *state = is_draining;
     if is_draining {
         target.gate.drain();
     } else {
@@ -271,7 +280,8 @@
     }
 }
 
-/// Withdraws a target.
+/// Removes the target of a service and publishes the change. Returns `true` if
+/// there was one.
 pub async fn withdraw(node: &NodeHandle, service: &ServiceName) -> bool {
     let removed = lock(&node.targets.targets).remove(service);
     let Some(target) = removed else {
@@ -283,10 +293,11 @@
     true
 }
 
-/// Ends the life of a target that says that it leaves. Returns whether it was
-/// known; a target that this node never held has nothing to withdraw.
-/// `incarnation` names the life that ends, where the target says so: one that
-/// has started again since is not meant.
+/// Deregisters a target that announces its departure. Returns `true` if it was
+/// registered.
+///
+/// `incarnation` is the departing incarnation, if the target names it. A later
+/// incarnation of a target that was restarted since then stays registered.
 pub async fn deregister(
     node: &NodeHandle,
     instance: &InstanceId,
@@ -297,12 +308,12 @@
         publish(node).await;
         return false;
     }
-    let held = node
+    let registered = node
         .targets
         .all()
         .into_iter()
         .find(|(_, target)| target.instance.as_ref() == Some(instance));
-    match held {
+    match registered {
         Some((service, _)) => withdraw(node, &service).await,
         None => {
             publish(node).await;
@@ -311,9 +322,9 @@
     }
 }
 
-/// Takes back what peers remember of targets that said to an earlier life of
-/// this node that they leave. One that was announced again since, by a late
-/// message, is withdrawn.
+/// Restores the departures of targets that were announced to this node before it
+/// was restarted and that its peers have kept. Withdraws a target that a late
+/// announcement registered again after the restart.
 pub async fn restore_departures(node: &NodeHandle, departures: &[TargetDeparture]) {
     if !lock(&node.announcements).restore(departures) {
         return;
@@ -330,7 +341,7 @@
     publish(node).await;
 }
 
-/// Makes every gate refuse new calls and tells the others.
+/// Drains the gates of all targets and publishes that they are draining.
 pub async fn drain_all(node: &NodeHandle) {
     for (_, target) in node.targets.all() {
         target.gate.drain();
@@ -338,11 +349,11 @@
     publish(node).await;
 }
 
-/// Puts the targets and the ends of their lives into this node's member record
-/// when they changed, and spreads it as urgent news.
+/// Updates this node's member record if the targets or their departures have
+/// changed, and sends the record to the other nodes at once.
 pub async fn publish(node: &NodeHandle) {
-    let is_leaving = node.current_stage() >= NodeStage::Draining;
-    let targets = node.targets.records(is_leaving);
+    let is_node_draining = node.current_stage() >= NodeStage::Draining;
+    let targets = node.targets.records(is_node_draining);
     let departures = lock(&node.announcements).departures();
     let record = {
         let mut table = lock(&node.table);
@@ -368,14 +379,14 @@
     news::spread_own(node, record).await;
 }
 
-/// Withdraws targets whose announcement was not renewed.
+/// Withdraws targets whose registration has expired.
 pub async fn expire_task(node: NodeHandle) {
-    let step = (node.settings.tuning.announce_ttl / 4).max(Duration::from_millis(50));
+    let interval = (node.settings.tuning.announce_ttl / 4).max(Duration::from_millis(50));
     loop {
-        tokio::time::sleep(step).await;
+        tokio::time::sleep(interval).await;
         let now = node.clock.now();
         for (service, target) in node.targets.all() {
-            if *lock(&target.expires) <= now {
+            if *lock(&target.expires_at) <= now {
                 withdraw(&node, &service).await;
             }
         }
