--- a/wisteriaturnd/src/claims/client.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -1,9 +1,10 @@
-//! The claims that this node's gates ask for.
+//! Client that sends the claims of this node's gate to the keepers.
 //!
-//! One task for each stream gathers the items that arrive while a demand is
-//! under way and sends them together, so a keeper sees one message for many
-//! calls. The task goes to another keeper when one does not answer; asking
-//! twice is harmless, since a run that holds its key wins again.
+//! One task per stream collects the items that arrive while a request is in
+//! flight and sends them together, so that a keeper receives one message for many
+//! calls. If a request fails, the task sends it again, to another keeper if the
+//! member table by then assigns the stream to one. Sending a claim twice is safe,
+//! because an execution that already holds its key wins again.
 
 use std::time::{Duration, Instant};
 
@@ -22,40 +23,41 @@
 use crate::metrics::TrafficKind;
 use crate::node::NodeHandle;
 
-/// Items that may wait for one stream.
-const QUEUE_LIMIT: usize = 8192;
+/// Maximum number of queued items per stream.
+const MAX_QUEUED_ITEMS: usize = 8192;
 
-/// Pause after a keeper failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before items that have no outcome yet are sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a release is tried. A key that stays claimed by a run that was
-/// never started delays its caller and breaks no promise.
-const RELEASE_TIME: Duration = Duration::from_secs(120);
+/// How long a release is retried. If it fails, the key stays claimed by an
+/// execution that was never started, which delays the caller but doesn't break the
+/// at-most-once guarantee.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[derive(Debug)]
 struct QueuedItem {
     item: ClaimItem,
-    until: Instant,
+    expires_at: Instant,
     reply: oneshot::Sender<ClaimOutcome>,
 }
 
-/// Takes claims and releases; the tasks behind it send them to keepers.
+/// Queues claims and releases for the tasks that send them to the keepers.
 #[derive(Debug)]
 pub struct ClaimClient {
     queues: Vec<mpsc::Sender<QueuedItem>>,
 }
 
-/// The other ends of the desk's queues, to be started once.
+/// The receiving ends of a client's queues, consumed by [`Self::start`].
 #[derive(Debug)]
 pub struct ClaimClientQueues {
     queues: Vec<mpsc::Receiver<QueuedItem>>,
 }
 
 impl ClaimClient {
-    /// Returns a desk and its queues.
+    /// Returns a client and the queues that its tasks process.
     pub fn new() -> (Self, ClaimClientQueues) {
         let (senders, receivers) = (0..CLAIM_STREAM_COUNT)
-            .map(|_| mpsc::channel(QUEUE_LIMIT))
+            .map(|_| mpsc::channel(MAX_QUEUED_ITEMS))
             .unzip();
         (
             Self { queues: senders },
@@ -63,47 +65,57 @@
         )
     }
 
-    /// Claims a key for a run, waiting until `until` at most.
-    pub async fn claim(&self, key: KeyHash, holder: ClaimHolder, until: Instant) -> ClaimOutcome {
-        self.put(key, ClaimItem::Claim { key, holder }, until).await
+    /// Claims a key for an execution. Returns [`ClaimOutcome::Unavailable`] if there
+    /// is no outcome by `expires_at`.
+    pub async fn claim(
+        &self,
+        key: KeyHash,
+        holder: ClaimHolder,
+        expires_at: Instant,
+    ) -> ClaimOutcome {
+        self.enqueue(key, ClaimItem::Claim { key, holder }, expires_at)
+            .await
     }
 
-    /// Frees a key whose run will not be started.
+    /// Releases a key in the background, because its execution won't be started.
     pub fn release(&self, node: &NodeHandle, key: KeyHash, run: CallId) {
         let node = node.clone();
-        let until = node.clock.now() + RELEASE_TIME;
+        let expires_at = node.clock.now() + RELEASE_TIMEOUT;
         tokio::spawn(async move {
             let item = ClaimItem::Release { key, run };
-            node.claims.put(key, item, until).await;
+            node.claims.enqueue(key, item, expires_at).await;
         });
     }
 
-    async fn put(&self, key: KeyHash, item: ClaimItem, until: Instant) -> ClaimOutcome {
-        let (reply, verdict) = oneshot::channel();
-        let queued = QueuedItem { item, until, reply };
+    async fn enqueue(&self, key: KeyHash, item: ClaimItem, expires_at: Instant) -> ClaimOutcome {
+        let (reply, outcome) = oneshot::channel();
+        let queued = QueuedItem {
+            item,
+            expires_at,
+            reply,
+        };
         let queue = &self.queues[stream_for_key(key) as usize];
         if queue.try_send(queued).is_err() {
             return ClaimOutcome::Unavailable;
         }
-        // The task drops an item whose time is over, but it may be waiting for
-        // a keeper just then.
-        match timeout_at(until.into(), verdict).await {
-            Ok(Ok(verdict)) => verdict,
+        // The task drops expired items, but not while it waits for a keeper.
+        match timeout_at(expires_at.into(), outcome).await {
+            Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => ClaimOutcome::Unavailable,
         }
     }
 }
 
 impl ClaimClientQueues {
-    /// Starts a task for each stream.
+    /// Starts one task per stream.
     pub fn start(self, node: &NodeHandle) {
         for (stream, queue) in (0..).zip(self.queues) {
-            tokio::spawn(demand_task(node.clone(), stream, queue));
+            tokio::spawn(send_task(node.clone(), stream, queue));
         }
     }
 }
 
-async fn demand_task(node: NodeHandle, stream: u32, mut queue: mpsc::Receiver<QueuedItem>) {
+async fn send_task(node: NodeHandle, stream: u32, mut queue: mpsc::Receiver<QueuedItem>) {
     let mut link: Option<(NodeAddress, PeerLink)> = None;
     let mut waiting: Vec<QueuedItem> = Vec::new();
     loop {
@@ -116,57 +128,60 @@
             waiting.push(item);
         }
         let now = node.clock.now();
-        waiting.retain(|queued| queued.until > now && !queued.reply.is_closed());
+        waiting.retain(|queued| queued.expires_at > now && !queued.reply.is_closed());
         if waiting.is_empty() {
             continue;
         }
-        let demand = ClaimRequest {
+        let request = ClaimRequest {
             stream,
             items: waiting.iter().map(|queued| queued.item.clone()).collect(),
         };
-        let verdicts = send_demand(&node, &mut link, demand).await;
-        waiting = settle(waiting, verdicts);
+        let outcomes = send_request(&node, &mut link, request).await;
+        waiting = deliver_outcomes(waiting, outcomes);
         if !waiting.is_empty() {
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Answers the items that have a verdict and returns the others.
-fn settle(waiting: Vec<QueuedItem>, verdicts: Option<Vec<ClaimOutcome>>) -> Vec<QueuedItem> {
-    let verdicts = verdicts.unwrap_or_default();
-    let mut left = Vec::new();
+/// Delivers the known outcomes and returns the items that have to be sent again.
+fn deliver_outcomes(
+    waiting: Vec<QueuedItem>,
+    outcomes: Option<Vec<ClaimOutcome>>,
+) -> Vec<QueuedItem> {
+    let outcomes = outcomes.unwrap_or_default();
+    let mut remaining = Vec::new();
     for (index, queued) in waiting.into_iter().enumerate() {
-        match verdicts.get(index) {
-            Some(ClaimOutcome::Unavailable) | None => left.push(queued),
-            Some(verdict) => {
-                let _ = queued.reply.send(verdict.clone());
+        match outcomes.get(index) {
+            Some(ClaimOutcome::Unavailable) | None => remaining.push(queued),
+            Some(outcome) => {
+                let _ = queued.reply.send(outcome.clone());
             }
         }
     }
-    left
+    remaining
 }
 
-async fn send_demand(
+async fn send_request(
     node: &NodeHandle,
     link: &mut Option<(NodeAddress, PeerLink)>,
-    demand: ClaimRequest,
+    request: ClaimRequest,
 ) -> Option<Vec<ClaimOutcome>> {
     let home = node.settings.log_data_centre.as_ref();
-    let keeper = keeper(&lock(&node.table), demand.stream, home)?;
+    let keeper = keeper(&lock(&node.table), request.stream, home)?;
     if keeper == node.address() {
-        return Some(node.keeper.submit(node, demand).await);
+        return Some(node.keeper.submit(node, request).await);
     }
     if link.as_ref().is_none_or(|(peer, _)| *peer != keeper) {
         *link = None;
-        log::info!(event = "keeper", stream = demand.stream, chosen:% = keeper; "place");
+        log::info!(event = "keeper", stream = request.stream, chosen:% = keeper; "place");
         let opened = PeerLink::open(node, keeper).await.ok()?;
         *link = Some((keeper, opened));
     }
-    let (_, open) = link.as_mut()?;
-    let request = PeerRequest::Claim(demand);
-    match open.ask(node, &request, TrafficKind::Claim).await {
-        Ok(PeerAnswer::Claimed(verdicts)) => Some(verdicts),
+    let (_, peer_link) = link.as_mut()?;
+    let request = PeerRequest::Claim(request);
+    match peer_link.ask(node, &request, TrafficKind::Claim).await {
+        Ok(PeerAnswer::Claimed(outcomes)) => Some(outcomes),
         Ok(_) | Err(_) => {
             *link = None;
             None
--- a/wisteriaturnd/src/claims/keeper.rs
+++ b/wisteriaturnd/src/claims/keeper.rs
@@ -1,10 +1,11 @@
-//! The keeper of claim streams: writes the claims of many gates as one record.
+//! The keeper of claim streams, which appends the claims of many gates as one
+//! record.
 //!
-//! The log takes several hundred appends a second in all, far fewer than there
-//! are calls. A keeper gathers demands for a short time and appends them
-//! together; while an append is under way the next ones gather. Two keepers of
-//! one stream are harmless, since the order of the log decides: a keeper
-//! answers only after it has folded the stream up to its own record.
+//! The log accepts several hundred appends per second in total, far fewer than
+//! there are calls. So a keeper collects requests for a short time, and while an
+//! append is in flight, and appends them together. Two keepers of one stream do no
+//! harm, because the order of records in the log decides: a keeper replies only
+//! after it has applied all records of the stream up to its own.
 
 use std::time::{Duration, Instant};
 
@@ -19,47 +20,49 @@
 
 use crate::node::NodeHandle;
 
-/// Demands that may wait for one stream.
-const QUEUE_LIMIT: usize = 4096;
+/// Maximum number of queued requests per stream.
+const MAX_QUEUED_REQUESTS: usize = 4096;
 
-/// How long a batch is tried before its gates are told to ask again.
-const BATCH_TIME: Duration = Duration::from_secs(3);
+/// How long a batch is retried before its claims are reported as unavailable, so
+/// that the gates send them again.
+const BATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause after the log failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a failed append is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Records in one read of a stream.
-const READ_LIMIT: usize = 512;
+/// Maximum number of records per read of a stream.
+const MAX_READ_RECORDS: usize = 512;
 
-/// How long expired keys are still held, since writers' clocks differ.
-const CLOCK_SLACK: Duration = Duration::from_secs(60);
+/// How long keys are kept beyond their expiry, because the clocks of writers may
+/// differ.
+const CLOCK_SKEW: Duration = Duration::from_secs(60);
 
-/// Time between two sweeps of expired keys.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
+/// Minimum interval between two removals of expired keys.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
-struct QueuedDemand {
+struct QueuedRequest {
     items: Vec<ClaimItem>,
     reply: oneshot::Sender<Vec<ClaimOutcome>>,
 }
 
-/// Takes demands; a task for each stream writes them.
+/// Queues claim requests for the tasks that append them to the log.
 #[derive(Debug)]
 pub struct ClaimKeeper {
-    queues: Vec<mpsc::Sender<QueuedDemand>>,
+    queues: Vec<mpsc::Sender<QueuedRequest>>,
 }
 
-/// The other ends of the keeper's queues, to be started once.
+/// The receiving ends of a keeper's queues, consumed by [`Self::start`].
 #[derive(Debug)]
 pub struct ClaimKeeperQueues {
-    queues: Vec<mpsc::Receiver<QueuedDemand>>,
+    queues: Vec<mpsc::Receiver<QueuedRequest>>,
 }
 
 impl ClaimKeeper {
-    /// Returns a keeper and its queues.
+    /// Returns a keeper and the queues that its tasks process.
     pub fn new() -> (Self, ClaimKeeperQueues) {
         let (senders, receivers) = (0..CLAIM_STREAM_COUNT)
-            .map(|_| mpsc::channel(QUEUE_LIMIT))
+            .map(|_| mpsc::channel(MAX_QUEUED_REQUESTS))
             .unzip();
         (
             Self { queues: senders },
@@ -67,90 +70,93 @@
         )
     }
 
-    /// Writes a demand and returns what became of its items.
-    pub async fn submit(&self, node: &NodeHandle, demand: ClaimRequest) -> Vec<ClaimOutcome> {
-        let count = demand.items.len();
+    /// Appends the items of a request to the log and returns their outcomes.
+    pub async fn submit(&self, node: &NodeHandle, request: ClaimRequest) -> Vec<ClaimOutcome> {
+        let count = request.items.len();
         let refused = || vec![ClaimOutcome::Unavailable; count];
-        let Some(queue) = self.queues.get(demand.stream as usize) else {
+        let Some(queue) = self.queues.get(request.stream as usize) else {
             return refused();
         };
-        let (reply, verdicts) = oneshot::channel();
-        let queued = QueuedDemand {
-            items: demand.items,
+        let (reply, outcomes) = oneshot::channel();
+        let queued = QueuedRequest {
+            items: request.items,
             reply,
         };
         if queue.try_send(queued).is_err() {
             node.metrics.count_drop("claim-queue-full");
             return refused();
         }
-        verdicts.await.unwrap_or_else(|_| refused())
+        outcomes.await.unwrap_or_else(|_| refused())
     }
 }
 
 impl ClaimKeeperQueues {
-    /// Starts a task for each stream.
+    /// Starts one task per stream.
     pub fn start(self, node: &NodeHandle) {
         for (stream, queue) in (0..).zip(self.queues) {
             let keeper = StreamKeeper {
                 node: node.clone(),
                 name: stream_name(stream),
-                fold: None,
-                swept: None,
+                table: None,
+                last_expiry: None,
             };
             tokio::spawn(keeper.run(queue));
         }
     }
 }
 
-/// What one task knows of its stream; nothing until the first demand.
+/// The state of the task for one stream.
 struct StreamKeeper {
     node: NodeHandle,
     name: String,
-    fold: Option<ClaimTable>,
-    swept: Option<Instant>,
+    /// The claims in the stream, or `None` before the stream is first read.
+    table: Option<ClaimTable>,
+    /// When expired keys were last removed.
+    last_expiry: Option<Instant>,
 }
 
 impl StreamKeeper {
-    async fn run(mut self, mut queue: mpsc::Receiver<QueuedDemand>) {
+    async fn run(mut self, mut queue: mpsc::Receiver<QueuedRequest>) {
         let interval = self.node.settings.tuning.claim_interval;
-        let mut last = None;
+        let mut last_batch = None;
         while let Some(first) = queue.recv().await {
-            if let Some(last) = last {
-                let waited = self.node.clock.now().duration_since(last);
-                tokio::time::sleep(interval.saturating_sub(waited)).await;
+            if let Some(last_batch) = last_batch {
+                let elapsed = self.node.clock.now().duration_since(last_batch);
+                tokio::time::sleep(interval.saturating_sub(elapsed)).await;
             }
-            let demands = gather(first, &mut queue);
-            last = Some(self.node.clock.now());
-            self.write(demands).await;
+            let requests = collect_batch(first, &mut queue);
+            last_batch = Some(self.node.clock.now());
+            self.process_batch(requests).await;
         }
     }
 
-    async fn write(&mut self, demands: Vec<QueuedDemand>) {
-        let items: Vec<ClaimItem> = demands
+    async fn process_batch(&mut self, requests: Vec<QueuedRequest>) {
+        let items: Vec<ClaimItem> = requests
             .iter()
-            .flat_map(|demand| demand.items.iter().cloned())
+            .flat_map(|request| request.items.iter().cloned())
             .collect();
-        let mut verdicts = match self.decide(items).await {
-            Ok(verdicts) => verdicts.into_iter(),
+        let mut outcomes = match self.append_batch(items).await {
+            Ok(outcomes) => outcomes.into_iter(),
             Err(error) => {
                 log::warn!(event = "claims-failed", stream = self.name, error:% = error; "claim");
-                // What was folded before the failure stays valid.
+                // The records that were applied before the failure stay valid.
                 Vec::new().into_iter()
             }
         };
-        for demand in demands {
-            let count = demand.items.len();
-            let mut own: Vec<ClaimOutcome> = verdicts.by_ref().take(count).collect();
-            own.resize(count, ClaimOutcome::Unavailable);
-            let _ = demand.reply.send(own);
+        for request in requests {
+            let count = request.items.len();
+            let mut own_outcomes: Vec<ClaimOutcome> = outcomes.by_ref().take(count).collect();
+            own_outcomes.resize(count, ClaimOutcome::Unavailable);
+            let _ = request.reply.send(own_outcomes);
         }
     }
 
-    /// Appends a batch and folds the stream up to it.
-    async fn decide(&mut self, items: Vec<ClaimItem>) -> Result<Vec<ClaimOutcome>, LogError> {
+    /// Appends a batch and applies the stream up to its record, which decides the
+    /// outcomes of its items.
+    async fn append_batch(&mut self, items: Vec<ClaimItem>) -> Result<Vec<ClaimOutcome>, LogError> {
         self.catch_up().await?;
-        self.check_room(items.len())?;
-        self.sweep();
+        self.check_key_limit(items.len())?;
+        self.remove_expired();
         let batch = ClaimBatch {
             id: CallId(rand::random()),
             wall_ms: self.node.clock.unix_millis(),
@@ -160,94 +166,104 @@
         let record = batch
             .encode()
             .map_err(|error| LogError::Refused(error.to_string()))?;
-        let until = self.node.clock.now() + BATCH_TIME;
+        let give_up_at = self.node.clock.now() + BATCH_TIMEOUT;
         loop {
             match self.node.log.append(&self.name, record.clone()).await {
-                Ok(offset) => return self.fold_up_to(offset, &record).await,
-                Err(error) if self.node.clock.now() >= until => return Err(error),
+                Ok(offset) => return self.apply_up_to(offset, &record).await,
+                Err(error) if self.node.clock.now() >= give_up_at => return Err(error),
                 Err(LogError::Indeterminate(_)) => {
-                    if let Ok(Some(verdicts)) = self.find_own(batch.id).await {
-                        return Ok(verdicts);
+                    if let Ok(Some(outcomes)) = self.find_appended(batch.id).await {
+                        return Ok(outcomes);
                     }
                 }
                 Err(_) => {}
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Forgets expired keys now and then; looking at all of them on each batch
-    /// would cost more than they do.
-    fn sweep(&mut self) {
+    /// Removes expired keys at most once per [`EXPIRY_INTERVAL`]. Checking all keys
+    /// on every batch would cost more than keeping the expired ones for longer.
+    fn remove_expired(&mut self) {
         let now = self.node.clock.now();
         let is_due = self
-            .swept
-            .is_none_or(|when| now.duration_since(when) >= SWEEP_INTERVAL);
+            .last_expiry
+            .is_none_or(|when| now.duration_since(when) >= EXPIRY_INTERVAL);
         if is_due {
-            self.swept = Some(now);
+            self.last_expiry = Some(now);
             let now_ms = self.node.clock.unix_millis();
-            self.fold().remove_expired(now_ms, CLOCK_SLACK);
+            self.table().remove_expired(now_ms, CLOCK_SKEW);
         }
     }
 
-    /// Reads the stream to its end, from its first record at the first time.
+    /// Reads the whole stream, unless this was done before.
     async fn catch_up(&mut self) -> Result<(), LogError> {
-        if self.fold.is_some() {
+        if self.table.is_some() {
             return Ok(());
         }
-        self.fold = Some(ClaimTable::starting_at(Offset(0)));
+        self.table = Some(ClaimTable::starting_at(Offset(0)));
         let read = self.read_to_end(None).await;
         if read.is_err() {
-            self.fold = None;
+            self.table = None;
         }
         read.map(|_| ())
     }
 
-    /// Folds the records before `offset` and then the own one at it. When no
-    /// other keeper wrote in between, nothing has to be read.
-    async fn fold_up_to(
+    /// Applies the records before `offset`, then this keeper's own `record` at
+    /// `offset`. If no other keeper has appended in between, nothing has to be read.
+    async fn apply_up_to(
         &mut self,
         offset: Offset,
         record: &[u8],
     ) -> Result<Vec<ClaimOutcome>, LogError> {
         loop {
-            let fold = self.fold();
-            if fold.next_offset() == offset {
-                return Ok(fold.apply(record));
+            let table = self.table();
+            if table.next_offset() == offset {
+                return Ok(table.apply(record));
             }
-            let from = fold.next_offset();
-            let limit = usize::try_from(offset.0.saturating_sub(from.0)).unwrap_or(READ_LIMIT);
+            let from = table.next_offset();
+            let limit =
+                usize::try_from(offset.0.saturating_sub(from.0)).unwrap_or(MAX_READ_RECORDS);
             if limit == 0 {
-                // The fold is past the offset: the answer was an old one.
-                return Err(LogError::Indeterminate("offset already folded".to_owned()));
+                // The table is already past the offset, so the log returned an old
+                // one.
+                return Err(LogError::Indeterminate(
+                    "the record at the returned offset is already applied".to_owned(),
+                ));
             }
-            self.read_some(from, limit.min(READ_LIMIT), None).await?;
+            self.read_records(from, limit.min(MAX_READ_RECORDS), None)
+                .await?;
         }
     }
 
-    /// Looks for the own record after an append whose answer was lost.
-    async fn find_own(&mut self, id: CallId) -> Result<Option<Vec<ClaimOutcome>>, LogError> {
+    /// Searches the stream for a batch whose append had an unknown result, and
+    /// returns the outcomes of its items if it was appended.
+    async fn find_appended(&mut self, id: CallId) -> Result<Option<Vec<ClaimOutcome>>, LogError> {
         self.read_to_end(Some(id)).await
     }
 
+    /// Reads and applies records until the end of the stream, or up to the batch
+    /// `wanted`, whose outcomes it returns.
     async fn read_to_end(
         &mut self,
-        own: Option<CallId>,
+        wanted: Option<CallId>,
     ) -> Result<Option<Vec<ClaimOutcome>>, LogError> {
         loop {
-            let from = self.fold().next_offset();
-            let (found, is_end) = self.read_some(from, READ_LIMIT, own).await?;
+            let from = self.table().next_offset();
+            let (found, is_end) = self.read_records(from, MAX_READ_RECORDS, wanted).await?;
             if found.is_some() || is_end {
                 return Ok(found);
             }
         }
     }
 
-    async fn read_some(
+    /// Reads and applies up to `limit` records. Returns the outcomes of the batch
+    /// `wanted` if it is among them, and whether the end of the stream was reached.
+    async fn read_records(
         &mut self,
         from: Offset,
         limit: usize,
-        own: Option<CallId>,
+        wanted: Option<CallId>,
     ) -> Result<(Option<Vec<ClaimOutcome>>, bool), LogError> {
         let request = ReadRequest {
             stream: self.name.clone(),
@@ -258,52 +274,61 @@
         let batch = match self.node.log.read(request).await {
             Ok(batch) => batch,
             Err(LogError::Trimmed { first }) => {
-                // Retention is at least twice the key lifetime, so a trimmed
-                // record holds no live key.
-                self.fold = Some(ClaimTable::starting_at(first));
+                // The log's retention is at least twice the key lifetime, so trimmed
+                // records hold no unexpired claims.
+                self.table = Some(ClaimTable::starting_at(first));
                 return Ok((None, false));
             }
             Err(error) => return Err(error),
         };
-        let fold = self.fold();
+        let table = self.table();
         for record in &batch.records {
-            let verdicts = fold.apply(&record.data);
+            let outcomes = table.apply(&record.data);
             let id = ClaimBatch::try_from(record.data.as_ref()).map(|batch| batch.id);
-            if own.is_some() && id.ok() == own {
-                return Ok((Some(verdicts), false));
+            if wanted.is_some() && id.ok() == wanted {
+                return Ok((Some(outcomes), false));
             }
         }
-        Ok((None, fold.next_offset() >= batch.next))
+        Ok((None, table.next_offset() >= batch.next))
     }
 
-    fn fold(&mut self) -> &mut ClaimTable {
-        self.fold.get_or_insert_with(ClaimTable::default)
+    fn table(&mut self) -> &mut ClaimTable {
+        self.table.get_or_insert_with(ClaimTable::default)
     }
 
-    /// Makes room for new keys, or refuses them: a keeper's memory is bounded,
-    /// and a call whose key is not claimed is truthfully `not-run`.
-    fn check_room(&mut self, items: usize) -> Result<(), LogError> {
-        if self.fold().len() + items <= MAX_KEYS_PER_STREAM {
+    /// Returns an error if the table has no capacity for `items` more keys, even
+    /// after expired ones are removed.
+    ///
+    /// This bounds the keeper's memory. A call whose key can't be claimed doesn't
+    /// run, so its outcome `not-run` is true.
+    fn check_key_limit(&mut self, items: usize) -> Result<(), LogError> {
+        if self.table().len() + items <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
         let now_ms = self.node.clock.unix_millis();
-        self.fold().remove_expired(now_ms, CLOCK_SLACK);
-        if self.fold().len() + items <= MAX_KEYS_PER_STREAM {
+        self.table().remove_expired(now_ms, CLOCK_SKEW);
+        if self.table().len() + items <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
         self.node.metrics.count_drop("claim-keys-over-limit");
-        Err(LogError::Refused("too many live keys".to_owned()))
+        Err(LogError::Refused(
+            "too many unexpired idempotency keys in the stream".to_owned(),
+        ))
     }
 }
 
-fn gather(first: QueuedDemand, queue: &mut mpsc::Receiver<QueuedDemand>) -> Vec<QueuedDemand> {
+/// Takes queued requests until there are enough items for one record.
+fn collect_batch(
+    first: QueuedRequest,
+    queue: &mut mpsc::Receiver<QueuedRequest>,
+) -> Vec<QueuedRequest> {
     let mut count = first.items.len();
-    let mut demands = vec![first];
+    let mut requests = vec![first];
     while count < MAX_BATCH_ITEMS
-        && let Ok(demand) = queue.try_recv()
+        && let Ok(request) = queue.try_recv()
     {
-        count += demand.items.len();
-        demands.push(demand);
+        count += request.items.len();
+        requests.push(request);
     }
-    demands
+    requests
 }
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -1,10 +1,11 @@
 //! The attempts of one call.
 //!
-//! Whether an attempt may follow another depends on what is proved about the
-//! one before: `not-run` may be retried for any call, `unknown` only for an
-//! idempotent one or one with a key, which the claim guards. Each retry needs
-//! the budget of its service, time before the deadline, and a body that can be
-//! sent again.
+//! Whether a failed attempt may be retried depends on what is known about it.
+//! An attempt with the outcome `not-run` may be retried for any call. One with
+//! the outcome `unknown` may be retried only if the call is idempotent or has an
+//! idempotency key, whose claim prevents a second execution. A retry also needs
+//! time before the deadline, a request body that can be sent again and, if the
+//! attempt may have reached a target, a token from the service's retry budget.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -34,95 +35,105 @@
 use crate::mesh::hop::{self, GateCall, HopResult};
 use crate::node::NodeHandle;
 
-/// Most attempts of one call, those included that a gate refused.
-const ATTEMPT_LIMIT: usize = 4;
+/// Maximum number of attempts per call, including those that a gate refused
+/// except as `crowded`.
+const MAX_ATTEMPTS: usize = 4;
 
-/// Most targets that one call is sent to where its route does not say.
-const TARGET_LIMIT: u32 = 3;
+/// Maximum number of attempts per call that may reach a target, for routes that
+/// set no `max_attempts`.
+const DEFAULT_MAX_REACHED: u32 = 3;
 
-/// Bytes of an answer that are read before its head is passed on, so that an
-/// answer which breaks off can still be asked for elsewhere. Pages and tables
-/// fit; archives beyond it stream.
-const ANSWER_LIMIT: usize = 256 * 1024;
+/// Maximum number of answer bytes that are buffered before the head is passed to
+/// the caller, so that the call can still be retried if the answer breaks off.
+/// Pages and tables fit; larger archives are streamed.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
-/// Time that a target is passed over after its gate could not be reached.
-const UNREACHABLE_TIME: Duration = Duration::from_secs(1);
+/// How long a target is ejected after its gate could not be reached.
+const UNREACHABLE_EJECTION_TIME: Duration = Duration::from_secs(1);
 
-/// Least time after which a refused caller may come again.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// Minimum delay that a refused caller is asked to wait before it retries.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// When a caller may come again if no gate said when it expects room.
-const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Delay before a caller may retry, if no gate reported when it expects to have
+/// capacity.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A call with its route and all that an attempt needs.
+/// A call that has been routed, with everything that its attempts need.
 #[derive(Debug)]
 pub struct RoutedCall {
-    /// The view that the call keeps to its end.
+    /// The configuration view that was current when the call arrived. The call
+    /// uses its routes and policies until it ends.
     pub view: Arc<ServingView>,
-    /// Its route.
+    /// The route that the request matched.
     pub route: Arc<RouteEntry>,
-    /// The service chosen.
+    /// The service that was chosen from those of the route.
     pub service: Arc<ServiceEntry>,
-    /// The caller's name for its attempt.
+    /// The caller's request ID.
     pub request_id: Option<HeaderValue>,
-    /// Until when its answer is worth most.
+    /// The time after which an answer is late, from the route's target latency.
     pub soft_deadline: CallDeadline,
-    /// When the answer must be there.
+    /// The time by which the caller must have the answer.
     pub deadline: CallDeadline,
-    /// Whether running it twice does no harm.
+    /// Whether the call may safely run more than once.
     pub is_idempotent: bool,
-    /// Whether the caller gave an idempotency key.
+    /// Whether the caller sent an idempotency key.
     pub has_key: bool,
-    /// What the target would see.
+    /// Hash that identifies the same request when it is sent again.
     pub fingerprint: Fingerprint,
-    /// Head of the request, without headers of the connection or the mesh.
+    /// Head of the request, without hop-by-hop and internal headers.
     pub parts: Parts,
     /// Body of the request.
     pub body: BufferedBody,
 }
 
 impl RoutedCall {
-    /// Returns the caller's name for its attempt, for log lines.
+    /// Returns the caller's request ID, sanitized for log lines.
     pub(crate) fn request_text(&self) -> Sanitized<'_> {
         Sanitized::from_header(self.request_id.as_ref())
     }
 }
 
-/// What an attempt led to.
+/// The result of an attempt, read from the gate's response.
 #[derive(Debug)]
-struct AttemptEnd {
+struct FinishedAttempt {
     response: Response<NodeBody>,
     outcome: CallOutcome,
     reason: Option<RefusalReason>,
     report: GateReport,
-    is_final: bool,
+    /// Whether the gate forbids a retry because the request may have crashed its
+    /// target.
+    forbids_retry: bool,
 }
 
-/// What a gate says of itself with each answer.
+/// The load that a gate reports with each response.
 #[derive(Debug, Clone, Copy, Default)]
 struct GateReport {
     busy: Option<u32>,
-    mean_run: Option<Duration>,
-    room_after: Option<Duration>,
+    mean_run_time: Option<Duration>,
+    /// Time until the gate expects to have capacity again.
+    expected_wait: Option<Duration>,
 }
 
-/// How often a call was tried.
+/// The attempts of one call so far.
 #[derive(Debug, Default)]
-struct AttemptCount {
+struct AttemptHistory {
     tried: Vec<NodeAddress>,
+    /// Nodes whose gate refused the call as `crowded`; they may be chosen again.
     crowded: Vec<NodeAddress>,
+    /// Number of attempts that may have reached a target.
     reached: u32,
-    room_after: Option<Duration>,
+    /// Shortest time until one of the gates expects to have capacity again.
+    expected_wait: Option<Duration>,
 }
 
-impl AttemptEnd {
-    /// Tells whether the target answered with a failure of its own, which a
-    /// second one may spare the caller.
+impl FinishedAttempt {
+    /// Returns `true` if the target answered with a server error, which another
+    /// target may not have.
     fn is_target_failure(&self) -> bool {
         self.outcome == CallOutcome::Done && self.response.status().is_server_error()
     }
 
-    fn has_reached_target(&self) -> bool {
+    fn may_have_reached_target(&self) -> bool {
         self.outcome == CallOutcome::Done
             || self
                 .reason
@@ -130,63 +141,65 @@
     }
 }
 
-/// Makes attempts until one has an answer or no other may follow.
+/// Makes attempts until one is answered or no retry is allowed.
 pub async fn run(node: &NodeHandle, mut call: RoutedCall) -> Response<NodeBody> {
     let budget = node.retry_budget(&call.service.spec.name);
     budget.record_call(call.service.spec.retry_percent);
-    let mut count = AttemptCount::default();
-    // The answer to an attempt that may have run: from then on the call as a
-    // whole is no longer `not-run`, whatever becomes of later attempts.
-    let mut doubt = None;
-    let mut refused = None;
-    while let Some(place) = choose_next_target(node, &call, &count.tried, &count.crowded) {
-        let end = attempt(node, &mut call, &place, count.all() + 1).await;
-        count.note(&end, place.target.node);
-        let may_follow = may_follow(node, &call, &end, &count)
-            && (!end.has_reached_target() || take_retry(node, &budget));
-        if end.outcome == CallOutcome::Done && !(may_follow && end.is_target_failure()) {
-            return end.response;
+    let mut history = AttemptHistory::default();
+    // The response to an attempt that may have run. Once there is one, the call
+    // can no longer be reported as `not-run`, whatever later attempts return.
+    let mut possibly_run = None;
+    let mut not_run = None;
+    while let Some(chosen) = choose_next_target(node, &call, &history.tried, &history.crowded) {
+        let finished = make_attempt(node, &mut call, &chosen, history.len() + 1).await;
+        history.record(&finished, chosen.target.node);
+        let will_retry = may_retry(node, &call, &finished, &history)
+            && (!finished.may_have_reached_target() || take_retry_token(node, &budget));
+        if finished.outcome == CallOutcome::Done && !(will_retry && finished.is_target_failure()) {
+            return finished.response;
         }
-        match end.outcome {
-            CallOutcome::NotRun => refused = Some(end.response),
-            CallOutcome::Done | CallOutcome::Unknown => doubt = Some(end.response),
+        match finished.outcome {
+            CallOutcome::NotRun => not_run = Some(finished.response),
+            CallOutcome::Done | CallOutcome::Unknown => possibly_run = Some(finished.response),
         }
-        if !may_follow {
+        if !will_retry {
             break;
         }
     }
-    let none = || refusal(CallOutcome::NotRun, RefusalReason::NoTarget);
-    let mut response = doubt.or(refused).unwrap_or_else(none);
-    let after = count.room_after.unwrap_or(RETRY_AFTER);
-    node.set_retry_after(&mut response, spread(after));
+    let no_target = || refusal(CallOutcome::NotRun, RefusalReason::NoTarget);
+    let mut response = possibly_run.or(not_run).unwrap_or_else(no_target);
+    let retry_after = history.expected_wait.unwrap_or(DEFAULT_RETRY_AFTER);
+    node.set_retry_after(&mut response, add_jitter(retry_after));
     response
 }
 
-/// Spreads the return of callers that were refused together, so that they do
-/// not come back as one herd.
-fn spread(after: Duration) -> Duration {
-    after.mul_f64(rand::rng().random_range(0.8..1.6)) + LEAST_RETRY_AFTER
+/// Adds random jitter to a retry delay, so that callers that were refused
+/// together don't all retry at once.
+fn add_jitter(retry_after: Duration) -> Duration {
+    retry_after.mul_f64(rand::rng().random_range(0.8..1.6)) + MIN_RETRY_AFTER
 }
 
-impl AttemptCount {
-    fn all(&self) -> usize {
+impl AttemptHistory {
+    fn len(&self) -> usize {
         self.tried.len() + self.crowded.len()
     }
 
-    fn note(&mut self, end: &AttemptEnd, node: NodeAddress) {
-        match end.reason {
+    fn record(&mut self, finished: &FinishedAttempt, node: NodeAddress) {
+        match finished.reason {
             Some(RefusalReason::Crowded) => self.crowded.push(node),
             Some(_) | None => self.tried.push(node),
         }
-        self.reached += u32::from(end.has_reached_target());
-        if let Some(room) = end.report.room_after {
-            let soonest = self.room_after.map_or(room, |held| held.min(room));
-            self.room_after = Some(soonest);
+        self.reached += u32::from(finished.may_have_reached_target());
+        if let Some(expected_wait) = finished.report.expected_wait {
+            let shortest = self
+                .expected_wait
+                .map_or(expected_wait, |held| held.min(expected_wait));
+            self.expected_wait = Some(shortest);
         }
     }
 }
 
-fn take_retry(node: &NodeHandle, budget: &RetryBudget) -> bool {
+fn take_retry_token(node: &NodeHandle, budget: &RetryBudget) -> bool {
     let is_taken = budget.try_take();
     if is_taken {
         node.metrics.retries.inc();
@@ -196,43 +209,44 @@
     is_taken
 }
 
-/// Tells whether another attempt may follow one that ended so.
-fn may_follow(
+/// Returns `true` if the call may be retried after the attempt `finished`, apart
+/// from the retry budget.
+fn may_retry(
     node: &NodeHandle,
     call: &RoutedCall,
-    end: &AttemptEnd,
-    count: &AttemptCount,
+    finished: &FinishedAttempt,
+    history: &AttemptHistory,
 ) -> bool {
-    let is_proved = match end.outcome {
-        CallOutcome::Done => call.is_idempotent && end.is_target_failure(),
+    let is_safe = match finished.outcome {
+        CallOutcome::Done => call.is_idempotent && finished.is_target_failure(),
         CallOutcome::NotRun => true,
         CallOutcome::Unknown => call.is_idempotent || call.has_key,
     };
-    let is_worth_it = match end.reason {
+    let may_succeed = match finished.reason {
         Some(reason) => reason.is_retryable_elsewhere(),
-        None => end.is_target_failure(),
+        None => finished.is_target_failure(),
     };
     let now = node.clock.now();
-    let standing = lock(&node.suspects).status(call.fingerprint, now);
-    let most = call.route.spec.max_attempts.unwrap_or(TARGET_LIMIT);
-    is_proved
-        && is_worth_it
-        && !end.is_final
-        && count.tried.len() < ATTEMPT_LIMIT
-        && count.reached < most
+    let quarantine = lock(&node.suspects).status(call.fingerprint, now);
+    let max_reached = call.route.spec.max_attempts.unwrap_or(DEFAULT_MAX_REACHED);
+    is_safe
+        && may_succeed
+        && !finished.forbids_retry
+        && history.tried.len() < MAX_ATTEMPTS
+        && history.reached < max_reached
         && call.body.is_replayable()
         && call.deadline.allows_attempt(now)
-        && standing == QuarantineStatus::Clean
+        && quarantine == QuarantineStatus::Clean
 }
 
-async fn attempt(
+async fn make_attempt(
     node: &NodeHandle,
     call: &mut RoutedCall,
-    place: &ChosenTarget,
+    chosen: &ChosenTarget,
     number: usize,
-) -> AttemptEnd {
-    let target = &place.target;
-    let gate_call = gate_call(call, place.max_wait);
+) -> FinishedAttempt {
+    let target = &chosen.target;
+    let gate_call = gate_call(call, chosen.max_wait);
     let body = call.body.take_for_attempt().unwrap_or_else(empty);
     let mut request = Request::new(body);
     *request.method_mut() = call.parts.method.clone();
@@ -246,14 +260,14 @@
         node: node.clone(),
         target: target.clone(),
         call: gate_call.clone(),
-        is_answered: false,
+        has_response: false,
     };
-    let response = send(node, target, &gate_call, request).await;
-    guard.is_answered = true;
-    let end = hold_answer(&gate_call, read_end(response)).await;
-    note_end(node, call, target, &end, started);
-    let is_news = end.outcome != CallOutcome::Done || number > 1;
-    let level = if is_news {
+    let response = send_to_gate(node, target, &gate_call, request).await;
+    guard.has_response = true;
+    let finished = buffer_answer(&gate_call, parse_response(response)).await;
+    record_attempt(node, call, target, &finished, started);
+    let is_notable = finished.outcome != CallOutcome::Done || number > 1;
+    let level = if is_notable {
         log::Level::Info
     } else {
         log::Level::Debug
@@ -265,13 +279,13 @@
         call:% = gate_call.call,
         target:% = target.node,
         attempt = number,
-        outcome:% = end.outcome,
-        reason:% = end.reason.map_or("none", RefusalReason::name);
+        outcome:% = finished.outcome,
+        reason:% = finished.reason.map_or("none", RefusalReason::name);
         "route"
     );
-    AttemptEnd {
-        response: end.response.map(|body| hold_until_end(body, guard)),
-        ..end
+    FinishedAttempt {
+        response: finished.response.map(|body| attach_guard(body, guard)),
+        ..finished
     }
 }
 
@@ -296,8 +310,8 @@
     }
 }
 
-/// Sends an attempt to its gate, which may be in this process.
-async fn send(
+/// Sends an attempt to the target's gate, which may be in this process.
+async fn send_to_gate(
     node: &NodeHandle,
     target: &TargetEntry,
     call: &GateCall,
@@ -320,52 +334,61 @@
     match result {
         HopResult::Answered(response) => response,
         HopResult::Unsent => refusal(CallOutcome::NotRun, RefusalReason::Unreachable),
-        HopResult::Lost(life) => {
+        HopResult::Lost(boot_id) => {
             let reason = hop::lost_reason(call, node.clock.now());
             if call.is_idempotent {
                 return refusal(CallOutcome::Unknown, reason);
             }
-            let answer = hop::resolve(node, target, call, life).await;
+            let answer = hop::resolve(node, target, call, boot_id).await;
             inquiry_response(&answer, reason)
         }
     }
 }
 
-/// Reads an answer whole where it can be asked for again: one that breaks off
-/// is then an attempt that failed and not a caller's broken answer.
-async fn hold_answer(call: &GateCall, end: AttemptEnd) -> AttemptEnd {
-    if !call.is_idempotent || end.outcome != CallOutcome::Done {
-        return end;
+/// Buffers the answer to an idempotent call, up to
+/// [`MAX_BUFFERED_ANSWER_BYTES`]. If it breaks off, the attempt has failed and
+/// can be retried, and the caller doesn't receive a truncated answer.
+async fn buffer_answer(call: &GateCall, finished: FinishedAttempt) -> FinishedAttempt {
+    if !call.is_idempotent || finished.outcome != CallOutcome::Done {
+        return finished;
     }
-    let (parts, body) = end.response.into_parts();
-    let until = call.deadline.at().into();
-    let lost = match timeout_at(until, BufferedBody::read(body, ANSWER_LIMIT)).await {
+    let (parts, body) = finished.response.into_parts();
+    let deadline = call.deadline.at().into();
+    let reason = match timeout_at(
+        deadline,
+        BufferedBody::read(body, MAX_BUFFERED_ANSWER_BYTES),
+    )
+    .await
+    {
         Ok(Ok(mut read)) => {
             let body = read.take_for_attempt().unwrap_or_else(empty);
             let response = Response::from_parts(parts, body);
-            return AttemptEnd { response, ..end };
+            return FinishedAttempt {
+                response,
+                ..finished
+            };
         }
         Ok(Err(_)) => RefusalReason::TargetLost,
         Err(_) => RefusalReason::Deadline,
     };
-    AttemptEnd {
-        response: refusal(CallOutcome::Unknown, lost),
+    FinishedAttempt {
+        response: refusal(CallOutcome::Unknown, reason),
         outcome: CallOutcome::Unknown,
-        reason: Some(lost),
-        ..end
+        reason: Some(reason),
+        ..finished
     }
 }
 
-fn read_end(mut response: Response<NodeBody>) -> AttemptEnd {
+fn parse_response(mut response: Response<NodeBody>) -> FinishedAttempt {
     let map = response.headers_mut();
     let outcome = headers::parsed(map, &headers::OUTCOME).unwrap_or(CallOutcome::Unknown);
     let reason = headers::parsed(map, &headers::REASON);
     let report = GateReport {
         busy: headers::parsed(map, &headers::BUSY),
-        mean_run: headers::parsed(map, &headers::MEAN_RUN_US).map(Duration::from_micros),
-        room_after: headers::parsed(map, &headers::EXPECTED_WAIT_MS).map(Duration::from_millis),
+        mean_run_time: headers::parsed(map, &headers::MEAN_RUN_US).map(Duration::from_micros),
+        expected_wait: headers::parsed(map, &headers::EXPECTED_WAIT_MS).map(Duration::from_millis),
     };
-    let is_final = map.remove(headers::NO_RETRY).is_some();
+    let forbids_retry = map.remove(headers::NO_RETRY).is_some();
     for name in [
         headers::BUSY,
         headers::MEAN_RUN_US,
@@ -373,76 +396,85 @@
     ] {
         map.remove(name);
     }
-    AttemptEnd {
+    FinishedAttempt {
         response,
         outcome,
         reason,
         report,
-        is_final,
+        forbids_retry,
     }
 }
 
-/// Notes what the attempt said of its target.
-fn note_end(
+/// Updates the target's statistics with the result of an attempt and the load
+/// that its gate reported.
+fn record_attempt(
     node: &NodeHandle,
     call: &RoutedCall,
     target: &TargetEntry,
-    end: &AttemptEnd,
+    finished: &FinishedAttempt,
     started: Instant,
 ) {
     let now = node.clock.now();
     let service = &call.service.spec.name;
-    let all = call.view.targets(service).len();
-    let result = match (end.outcome, end.reason) {
-        (CallOutcome::Done, _) if end.is_target_failure() => AttemptResult::Faulty,
+    let target_count = call.view.targets(service).len();
+    let result = match (finished.outcome, finished.reason) {
+        (CallOutcome::Done, _) if finished.is_target_failure() => AttemptResult::Faulty,
         (CallOutcome::Done, _) => AttemptResult::Answered,
         (CallOutcome::NotRun, Some(RefusalReason::TargetBusy)) => AttemptResult::Faulty,
         (_, Some(RefusalReason::Unreachable | RefusalReason::GateLost)) => {
-            AttemptResult::Unreachable(UNREACHABLE_TIME)
+            AttemptResult::Unreachable(UNREACHABLE_EJECTION_TIME)
         }
         (_, Some(RefusalReason::Saturated)) => AttemptResult::Full,
         (_, Some(RefusalReason::TargetLost)) => AttemptResult::Failed,
         (CallOutcome::Unknown, Some(RefusalReason::Deadline)) => AttemptResult::Failed,
         _ => AttemptResult::Refused,
     };
-    let took = now.duration_since(started);
+    let elapsed = now.duration_since(started);
     if result == AttemptResult::Answered {
-        let bytes = end.response.body().size_hint().lower();
+        let bytes = finished.response.body().size_hint().lower();
         node.answer_estimates
-            .record(&call.route.spec.name, bytes, took);
+            .record(&call.route.spec.name, bytes, elapsed);
     }
-    let ejected = node.load.with_service(service, |load| {
-        if let Some(busy) = end.report.busy {
+    let ejected_for = node.load.with_service(service, |load| {
+        if let Some(busy) = finished.report.busy {
             load.record_load(target.node, busy, now);
         }
-        if let Some(mean_run) = end.report.mean_run {
-            load.record_run_time(target.node, &call.route.spec.name, mean_run, now);
+        if let Some(mean_run_time) = finished.report.mean_run_time {
+            load.record_run_time(target.node, &call.route.spec.name, mean_run_time, now);
         }
-        load.record_result(target, result, took, &call.service.policy, all, now)
+        load.record_result(
+            target,
+            result,
+            elapsed,
+            &call.service.policy,
+            target_count,
+            now,
+        )
     });
-    if let Some(time) = ejected {
+    if let Some(duration) = ejected_for {
         node.metrics.ejections.inc();
         log::warn!(
             event = "ejected",
             service:% = service,
             target:% = target.node,
-            for_ms = time.as_millis() as u64;
+            for_ms = duration.as_millis() as u64;
             "route"
         );
     }
 }
 
-fn hold_until_end(body: NodeBody, guard: AttemptGuard) -> NodeBody {
+fn attach_guard(body: NodeBody, guard: AttemptGuard) -> NodeBody {
     boxed(OnEndBody::new(body, move |_| drop(guard)))
 }
 
-/// Counts an attempt as under way until it is dropped. Dropped before the
-/// answer came, it revokes a call that must not start once its caller is gone.
+/// Counts an attempt as in flight until it is dropped. If it is dropped before
+/// the gate has responded, the caller is gone, and a call that is not idempotent
+/// is revoked so that it does not start.
 struct AttemptGuard {
     node: NodeHandle,
     target: TargetEntry,
     call: GateCall,
-    is_answered: bool,
+    has_response: bool,
 }
 
 impl Drop for AttemptGuard {
@@ -451,7 +483,7 @@
         self.node
             .load
             .with_service(service, |load| load.finish_attempt(self.target.node));
-        if self.is_answered || self.call.is_idempotent {
+        if self.has_response || self.call.is_idempotent {
             return;
         }
         if self.target.node == self.node.address() {
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -1,4 +1,4 @@
-//! One call of a caller: read, routed, attempted and answered.
+//! Handling of one call, from the caller's request to the response.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -27,17 +27,19 @@
 use crate::metrics::CallLabels;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Largest head of a request in bytes.
+/// Maximum size of a request head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// When a caller may come again whose call met no target at all.
+/// Delay before a caller may retry a call that was refused before a target was
+/// chosen.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Part of a call's target latency that its caller's own connection takes: the
-/// way to the node and back within a region.
-const CALLER_TRIP: Duration = Duration::from_millis(16);
+/// Part of a route's target latency that is spent between the caller and this
+/// node: one round trip within a region.
+const CALLER_ROUND_TRIP: Duration = Duration::from_millis(16);
 
-/// What is known of a call when it ends, for its log line and metrics.
+/// The data for the log line and the metrics of a call, written when its response
+/// body ends.
 #[derive(Debug)]
 struct CallRecord {
     node: NodeHandle,
@@ -54,8 +56,11 @@
 
 impl CallRecord {
     fn finish(self, end: BodyEnd) {
-        let took = self.node.clock.now().duration_since(self.started);
-        self.node.metrics.call_seconds.observe(took.as_secs_f64());
+        let elapsed = self.node.clock.now().duration_since(self.started);
+        self.node
+            .metrics
+            .call_seconds
+            .observe(elapsed.as_secs_f64());
         let labels = CallLabels {
             outcome: self.outcome.name(),
             reason: self.reason,
@@ -70,7 +75,7 @@
             outcome:% = self.outcome,
             reason = self.reason,
             status = self.status,
-            took_us = took.as_micros() as u64,
+            took_us = elapsed.as_micros() as u64,
             bytes = self.bytes.load(Ordering::Relaxed),
             body:? = end;
             "call"
@@ -78,7 +83,8 @@
     }
 }
 
-/// Serves one request of a caller.
+/// Handles one request from a caller, and logs and counts the call when its
+/// response body ends.
 pub async fn handle(node: &NodeHandle, request: Request<NodeBody>) -> Response<NodeBody> {
     let started = node.clock.now();
     let method = request.method().clone();
@@ -88,7 +94,7 @@
         .to_owned();
     let served = tokio::select! {
         served = Box::pin(serve(node, request)) => served,
-        () = wait_closing(node) => Ok(cut_call()),
+        () = wait_until_closing(node) => Ok(interrupted_call()),
     };
     let (response, route, permit) = match served {
         Ok(served) => (served.response, served.route, served.permit),
@@ -128,16 +134,16 @@
     permit: Option<RoutePermit>,
 }
 
-/// Waits until the time for calls under way is over.
-async fn wait_closing(node: &NodeHandle) {
+/// Waits until the node is stopping and the time for calls in flight is over.
+async fn wait_until_closing(node: &NodeHandle) {
     let mut stage = node.stage.subscribe();
-    // The sender lives in the node, so this cannot fail while it is held.
+    // This can't fail, because `node` keeps the sender alive.
     let _ = stage.wait_for(|stage| *stage >= NodeStage::Closing).await;
 }
 
-/// Returns the end of a call that was under way when the time was over: it may
-/// have run, wherever it was.
-fn cut_call() -> ServedCall {
+/// Returns the result of a call that was still in flight when the node closed.
+/// The outcome is `unknown`, because the call may have run.
+fn interrupted_call() -> ServedCall {
     ServedCall {
         response: refusal(CallOutcome::Unknown, RefusalReason::Draining),
         route: None,
@@ -145,11 +151,11 @@
     }
 }
 
-/// Tells whether a request may be started early: whether its route is known and
-/// its calls are idempotent.
+/// Returns `true` if the call may be started before hyper has read its request,
+/// which requires that it matches a route and is idempotent.
 pub fn may_start_early<B>(node: &NodeHandle, request: &Request<B>) -> bool {
     let view = node.view.load();
-    let Some(host) = host_of(request) else {
+    let Some(host) = request_host(request) else {
         return false;
     };
     let route = view.config.find_route(&host, request.uri().path());
@@ -160,33 +166,33 @@
 }
 
 async fn serve(node: &NodeHandle, request: Request<NodeBody>) -> Result<ServedCall, RefusalReason> {
-    // A node that is stopped while it starts is past that stage, but knows as
-    // little as before.
+    // The stage is not checked here: a node that is stopped while it starts has
+    // left the starting stage but still has no current configuration.
     if !node.was_ready.load(Ordering::Acquire) {
         return Err(RefusalReason::NotReady);
     }
-    // Callers were told for a while that this node stops; a call that is taken
-    // now could not end before it does.
-    let has_warned = !node.settings.tuning.lame_duck.is_zero();
-    if has_warned && node.current_stage() >= NodeStage::Stopping {
+    // With a lame-duck period, callers have been told in time that this node is
+    // stopping. A call that is accepted now could not finish before it does.
+    let has_lame_duck = !node.settings.tuning.lame_duck.is_zero();
+    if has_lame_duck && node.current_stage() >= NodeStage::Stopping {
         return Err(RefusalReason::Draining);
     }
     let view = node.view.load();
-    check_framing(node, &view, &request)?;
-    let host = host_of(&request).ok_or(RefusalReason::BadRequest)?;
+    check_request(node, &view, &request)?;
+    let host = request_host(&request).ok_or(RefusalReason::BadRequest)?;
     let route = view
         .config
         .find_route(&host, request.uri().path())
         .cloned()
         .ok_or(RefusalReason::NoRoute)?;
-    let most = route.spec.max_concurrent;
+    let max_concurrent = route.spec.max_concurrent;
     let permit = node
         .route_limiter
-        .try_acquire(&route.spec.name, most)
+        .try_acquire(&route.spec.name, max_concurrent)
         .ok_or(RefusalReason::RouteLimit)?;
-    let asked = headers::parsed_millis(request.headers(), &node.edge.deadline_ms);
-    let deadline = CallDeadline::for_call(&node.clock, route.spec.deadline(), asked);
-    let call = read(node, view, Arc::clone(&route), deadline, request).await?;
+    let requested = headers::parsed_millis(request.headers(), &node.edge.deadline_ms);
+    let deadline = CallDeadline::for_call(&node.clock, route.spec.deadline(), requested);
+    let call = prepare(node, view, Arc::clone(&route), deadline, request).await?;
     let response = attempt::run(node, call).await;
     Ok(ServedCall {
         response,
@@ -195,17 +201,17 @@
     })
 }
 
-/// Refuses a request whose framing two readers could take differently, or
-/// whose body is over the bound.
-fn check_framing(
+/// Rejects a request if two HTTP implementations could disagree about its framing
+/// or host, or if its head or body is too large.
+fn check_request(
     node: &NodeHandle,
     view: &ServingView,
     request: &Request<NodeBody>,
 ) -> Result<(), RefusalReason> {
     let map = request.headers();
     let has_both = map.contains_key(CONTENT_LENGTH) && map.contains_key(TRANSFER_ENCODING);
-    let is_large = request.body().size_hint().lower() > body_bound(node, view);
-    let most_head = view
+    let is_large = request.body().size_hint().lower() > max_body_bytes(node, view);
+    let max_head_bytes = view
         .config
         .limits
         .as_ref()
@@ -214,7 +220,7 @@
         });
     if has_both
         || is_large
-        || head_bytes(request) > most_head.min(MAX_HEAD_BYTES)
+        || head_bytes(request) > max_head_bytes.min(MAX_HEAD_BYTES)
         || map.get_all(HOST).iter().count() > 1
     {
         return Err(RefusalReason::BadRequest);
@@ -222,16 +228,16 @@
     Ok(())
 }
 
-/// Returns the bytes that a body may have: the node's bound, or the one of the
-/// configuration where that is lower.
-fn body_bound(node: &NodeHandle, view: &ServingView) -> u64 {
+/// Returns the maximum size of a request body in bytes: the lower of the limits in
+/// the node's settings and in the configuration.
+fn max_body_bytes(node: &NodeHandle, view: &ServingView) -> u64 {
     let own = node.settings.tuning.max_body_bytes;
     let limits = view.config.limits.as_ref();
     limits.map_or(own, |limits| own.min(limits.max_body_bytes))
 }
 
-/// Returns the bytes of a request's head. The connection's buffer bounds them
-/// only roughly, since it grows by whole reads.
+/// Returns the size of a request's head in bytes. The buffer limit of the
+/// connection doesn't enforce it exactly, because the buffer grows by whole reads.
 fn head_bytes<B>(request: &Request<B>) -> usize {
     let headers: usize = request
         .headers()
@@ -241,14 +247,15 @@
     headers + request.uri().to_string().len()
 }
 
-fn host_of<B>(request: &Request<B>) -> Option<String> {
+fn request_host<B>(request: &Request<B>) -> Option<String> {
     match request.uri().host() {
         Some(host) => Some(host.to_owned()),
         None => headers::text(request.headers(), &HOST).map(str::to_owned),
     }
 }
 
-async fn read(
+/// Validates a request, reads its body and collects what its attempts need.
+async fn prepare(
     node: &NodeHandle,
     view: Arc<ServingView>,
     route: Arc<RouteEntry>,
@@ -263,7 +270,7 @@
         let name = node.edge.request_id.clone();
         parts.headers.insert(name, request_id.clone());
     }
-    // What a caller says of itself here is never believed.
+    // Only nodes may set these headers, so values from callers are dropped.
     parts.headers.remove(&node.edge.expected_instance);
     parts.headers.remove(&node.edge.caller_service);
     if let Some(service) = &node.settings.caller_service {
@@ -282,16 +289,22 @@
     {
         return Err(RefusalReason::BadRequest);
     }
-    let limit = node.settings.tuning.replay_bytes;
-    let most = usize::try_from(body_bound(node, &view)).unwrap_or(usize::MAX);
-    let reading = BufferedBody::read(boxed(Limited::new(body, most)), limit);
-    let body = timeout_at(deadline.at().into(), reading)
+    let max_buffered = node.settings.tuning.replay_bytes;
+    let max_body = usize::try_from(max_body_bytes(node, &view)).unwrap_or(usize::MAX);
+    let read_body = BufferedBody::read(boxed(Limited::new(body, max_body)), max_buffered);
+    let body = timeout_at(deadline.at().into(), read_body)
         .await
         .map_err(|_| RefusalReason::Deadline)?
         .map_err(|_| RefusalReason::BadRequest)?;
-    let aim = route.spec.target_latency().saturating_sub(CALLER_TRIP);
-    let soft_deadline =
-        CallDeadline::for_call(&node.clock, aim, Some(deadline.remaining(node.clock.now())));
+    let target_latency = route
+        .spec
+        .target_latency()
+        .saturating_sub(CALLER_ROUND_TRIP);
+    let soft_deadline = CallDeadline::for_call(
+        &node.clock,
+        target_latency,
+        Some(deadline.remaining(node.clock.now())),
+    );
     let service = choose_service(&route);
     let fingerprint = match key.as_ref().filter(|_| !is_idempotent) {
         Some(key) => {
@@ -300,14 +313,14 @@
         }
         None => Fingerprint::of_parts(&[
             parts.method.as_str().as_bytes(),
-            // Not the host: callers may name the node they connect to.
+            // Without the host, which may be that of the node the caller connects to.
             service.spec.name.as_str().as_bytes(),
             parts.uri.to_string().as_bytes(),
             body.prefix(),
         ]),
     };
-    let standing = lock(&node.suspects).status(fingerprint, node.clock.now());
-    if let QuarantineStatus::Quarantined(_) = standing {
+    let quarantine = lock(&node.suspects).status(fingerprint, node.clock.now());
+    if let QuarantineStatus::Quarantined(_) = quarantine {
         return Err(RefusalReason::Quarantined);
     }
     Ok(RoutedCall {
@@ -325,8 +338,9 @@
     })
 }
 
-/// Turns `GET http://host/path` into `GET /path` with a Host header: the
-/// absolute form is for proxies, and a target need not read it (RFC 9112, 3.2).
+/// Converts an absolute-form request target such as `http://host/path` to origin
+/// form with a Host header. The absolute form is meant for proxies (RFC 9112,
+/// section 3.2), so targets may not support it.
 fn to_origin_form(parts: &mut Parts) {
     if let Some(authority) = parts.uri.authority() {
         headers::set(&mut parts.headers, HOST, authority);
@@ -335,14 +349,14 @@
     parts.uri = path.map_or_else(Uri::default, Uri::from);
 }
 
-/// Chooses one of a route's services by weight.
+/// Chooses one of a route's services at random, in proportion to their weights.
 fn choose_service(route: &RouteEntry) -> Arc<ServiceEntry> {
     let total: u64 = route
         .services
         .iter()
         .map(|(_, weight)| u64::from(*weight))
         .sum();
-    // Validation lets no route pass whose weights sum to zero.
+    // Validation rejects routes whose weights sum to zero.
     let mut point = rand::rng().random_range(0..total.max(1));
     for (service, weight) in &route.services {
         let weight = u64::from(*weight);
--- a/wisteriaturnd/src/ingress/liveness.rs
+++ b/wisteriaturnd/src/ingress/liveness.rs
@@ -1,4 +1,4 @@
-//! When to give up an attempt whose gate has fallen silent.
+//! Detection of gates that stop responding while they handle an attempt.
 
 use std::time::Duration;
 
@@ -8,46 +8,49 @@
 use crate::mesh::gossip;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Time after which a gate that has not answered is asked whether it lives:
-/// longer than most runs, so that few calls pay for a probe.
-const DOUBT_TIME: Duration = Duration::from_millis(400);
+/// Time without an answer after which the gate's node is probed. It is longer
+/// than most calls run, so that few calls cause a probe.
+const PROBE_DELAY: Duration = Duration::from_millis(400);
 
-/// Pause between two such questions.
-const DOUBT_PAUSE: Duration = Duration::from_millis(200);
+/// Pause between the end of one probe and the start of the next.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for the answer: a VM with a small share of a core stands still for up
-/// to a tenth of a second, and a thin link holds packets back.
-const DOUBT_WAIT: Duration = Duration::from_millis(400);
+/// How long to wait for the answer to a probe. A VM with a small share of a core
+/// can be paused for up to 100 ms, and a slow link delays packets.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Questions in a row without an answer after which an attempt is given up:
-/// giving up wrongly costs a run that may be nearly done.
-const DOUBT_LIMIT: u32 = 3;
+/// Number of consecutive unanswered probes after which an attempt is abandoned.
+/// Abandoning it wrongly wastes a run that may be nearly done.
+const MAX_MISSED_PROBES: u32 = 3;
 
-/// Waits until the node of a target no longer answers probes. A frozen node
-/// and a cut link leave connections open, so an attempt there would wait for
-/// its whole deadline.
+/// Waits until the node of a target no longer answers probes.
 ///
-/// Giving up only helps a call that can be tried elsewhere, so it needs a retry
-/// in the budget, and a node that stops gives up nothing that is under way.
+/// If a node freezes or a link is cut, connections stay open, so an attempt would
+/// wait until its deadline. Abandoning the attempt only helps if the call can be
+/// retried. So this function keeps waiting while the retry budget of the service
+/// is empty, or while this node is not ready, such as when it is stopping.
 pub(crate) async fn wait_until_unresponsive(
     node: &NodeHandle,
     target: &TargetEntry,
     service: &ServiceName,
 ) {
-    tokio::time::sleep(DOUBT_TIME).await;
+    tokio::time::sleep(PROBE_DELAY).await;
     let mut missed = 0;
     loop {
-        if gossip::ping(node, target.node, DOUBT_WAIT).await.is_some() {
+        if gossip::ping(node, target.node, PROBE_TIMEOUT)
+            .await
+            .is_some()
+        {
             missed = 0;
         } else {
             missed += 1;
         }
-        let may_give_up =
+        let may_retry =
             node.current_stage() == NodeStage::Ready && node.retry_budget(service).has_retry();
-        if missed >= DOUBT_LIMIT && may_give_up {
+        if missed >= MAX_MISSED_PROBES && may_retry {
             break;
         }
-        tokio::time::sleep(DOUBT_PAUSE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
     }
     log::warn!(event = "gate-silent", target:% = target.node, missed = missed; "route");
 }
--- a/wisteriaturnd/src/ingress/mod.rs
+++ b/wisteriaturnd/src/ingress/mod.rs
@@ -1,7 +1,8 @@
-//! The ingress: where callers' requests enter the mesh.
+//! The ingress, where requests from callers enter the mesh.
 //!
-//! Routing, retries and deadlines are decided here, next to the caller. What
-//! must hold about running a call is left to the gate of its target.
+//! The ingress decides on routing, retries and deadlines, close to the caller.
+//! Guarantees about the execution of a call, such as at-most-once, are enforced
+//! by the gate of its target.
 
 pub mod attempt;
 pub mod call;
--- a/wisteriaturnd/src/ingress/pipeline.rs
+++ b/wisteriaturnd/src/ingress/pipeline.rs
@@ -1,13 +1,16 @@
-//! Requests that a caller sends before the first one is answered.
+//! HTTP pipelining: requests that a caller sends before the previous ones are
+//! answered.
 //!
-//! The load pattern: a caller sends several reads at once on one connection.
-//! hyper takes one after the other, so the last would wait for the runs of all
-//! before it. Here a node looks ahead at the heads that have arrived and starts
-//! those calls early; when hyper comes to a request, its answer is under way.
+//! It is made for a load pattern in which a caller sends several reads at once on
+//! one connection. hyper serves one request at a time, so the last one would wait
+//! until all the others have run. This module scans the request heads on their way
+//! to hyper and starts those calls early. When hyper gets to a request, its call is
+//! already in flight.
 //!
-//! hyper alone decides where a request begins and ends. A head that was looked
-//! at too early, or read differently, matches no request of hyper's and its call
-//! is dropped, which is why only idempotent calls without a body start early.
+//! hyper alone decides where a request begins and ends. If the scanner parses a
+//! head differently, or hyper never reads that request, the early call matches none
+//! of hyper's requests and is dropped, although it may have run. That is why only
+//! idempotent calls without a body are started early.
 
 use std::collections::VecDeque;
 use std::pin::Pin;
@@ -29,45 +32,48 @@
 use crate::ingress::call;
 use crate::node::NodeHandle;
 
-/// Most calls of one connection that are started early.
-const EARLY_LIMIT: usize = 8;
+/// Maximum number of early calls per connection.
+const MAX_EARLY_CALLS: usize = 8;
 
-/// Most headers of a head that is looked at.
-const HEADER_LIMIT: usize = 64;
+/// Maximum number of headers in a scanned head.
+const MAX_HEADERS: usize = 64;
 
-/// Bytes of a head that is looked at.
-const SCAN_LIMIT: usize = 32 * 1024;
+/// Maximum size of an incomplete head that the scanner buffers, in bytes.
+const MAX_PARTIAL_HEAD_BYTES: usize = 32 * 1024;
 
-/// The heads in the bytes of one connection.
+/// An incremental parser for the request heads on one connection.
 #[derive(Debug, Default)]
 pub struct HeadScanner {
     bytes: BytesMut,
-    is_off: bool,
+    is_disabled: bool,
 }
 
 impl HeadScanner {
-    /// Returns a scanner at the start of a connection.
+    /// Returns a scanner for a new connection.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes bytes and returns the requests whose heads they complete. From the
-    /// first one on that has a body or cannot be read, there are no more.
+    /// Scans the next bytes of the connection and returns the requests whose heads
+    /// they complete.
+    ///
+    /// The scanner disables itself at the first head that can't be parsed or that
+    /// belongs to a request other than a GET or HEAD without a body.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Request<()>> {
         let mut found = Vec::new();
-        if self.is_off {
+        if self.is_disabled {
             return found;
         }
         self.bytes.extend_from_slice(bytes);
         while !self.bytes.is_empty() {
-            match read_head(&self.bytes) {
-                HeadRead::Whole(request, length) => {
+            match parse_head(&self.bytes) {
+                ParsedHead::Complete(request, length) => {
                     self.bytes.advance(length);
                     found.push(*request);
                 }
-                HeadRead::Partial if self.bytes.len() <= SCAN_LIMIT => break,
-                HeadRead::Partial | HeadRead::Other => {
-                    self.is_off = true;
+                ParsedHead::Partial if self.bytes.len() <= MAX_PARTIAL_HEAD_BYTES => break,
+                ParsedHead::Partial | ParsedHead::Unsupported => {
+                    self.is_disabled = true;
                     self.bytes = BytesMut::new();
                 }
             }
@@ -76,23 +82,23 @@
     }
 }
 
-enum HeadRead {
-    Whole(Box<Request<()>>, usize),
+enum ParsedHead {
+    Complete(Box<Request<()>>, usize),
     Partial,
-    Other,
+    Unsupported,
 }
 
-fn read_head(bytes: &[u8]) -> HeadRead {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_LIMIT];
+fn parse_head(bytes: &[u8]) -> ParsedHead {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) => return HeadRead::Partial,
-        Err(_) => return HeadRead::Other,
+        Ok(httparse::Status::Partial) => return ParsedHead::Partial,
+        Err(_) => return ParsedHead::Unsupported,
     };
     match to_request(&head) {
-        Some(request) if has_no_body(&request) => HeadRead::Whole(Box::new(request), length),
-        Some(_) | None => HeadRead::Other,
+        Some(request) if has_no_body(&request) => ParsedHead::Complete(Box::new(request), length),
+        Some(_) | None => ParsedHead::Unsupported,
     }
 }
 
@@ -110,14 +116,14 @@
 
 fn has_no_body(request: &Request<()>) -> bool {
     let map = request.headers();
-    let is_read = matches!(*request.method(), Method::GET | Method::HEAD);
+    let is_safe_method = matches!(*request.method(), Method::GET | Method::HEAD);
     let has_body = [CONTENT_LENGTH, TRANSFER_ENCODING, EXPECT, UPGRADE]
         .iter()
         .any(|name| map.contains_key(name));
-    is_read && !has_body
+    is_safe_method && !has_body
 }
 
-/// A call that was started before hyper came to its request.
+/// A call that was started before hyper has read its request.
 #[derive(Debug)]
 struct EarlyCall {
     index: u64,
@@ -144,13 +150,16 @@
 #[derive(Debug, Default)]
 struct PipelineState {
     scanner: HeadScanner,
-    seen: u64,
-    begun: u64,
-    ended: u64,
+    /// Number of requests that the scanner has found.
+    scanned: u64,
+    /// Number of requests that hyper has read.
+    started: u64,
+    /// Number of requests that were answered.
+    answered: u64,
     early: VecDeque<EarlyCall>,
 }
 
-/// The requests of one connection in their order; a cheap handle.
+/// The requests of one connection, in order. Clones share the same state.
 #[derive(Debug, Clone)]
 pub struct CallPipeline {
     node: NodeHandle,
@@ -166,12 +175,12 @@
         }
     }
 
-    /// Answers the next request that hyper read.
+    /// Returns the response to the next request that hyper has read.
     pub async fn answer(&self, request: Request<Incoming>) -> Response<NodeBody> {
         let early = {
             let mut state = lock(&self.state);
-            let index = state.begun;
-            state.begun += 1;
+            let index = state.started;
+            state.started += 1;
             state.early.retain(|early| early.index >= index);
             match state.early.front() {
                 Some(early) if early.index == index => state.early.pop_front(),
@@ -185,29 +194,29 @@
             }
             Some(_) | None => call::handle(&self.node, request.map(boxed)).await,
         };
-        lock(&self.state).ended += 1;
+        lock(&self.state).answered += 1;
         response
     }
 
-    /// Looks at bytes on their way to hyper.
+    /// Scans bytes on their way to hyper and starts the calls that may start early.
     fn look_ahead(&self, bytes: &[u8]) {
         let mut state = lock(&self.state);
         for request in state.scanner.feed(bytes) {
-            let index = state.seen;
-            state.seen += 1;
-            // hyper comes to the next request at once when it waits for one.
-            let is_next = index == state.begun && state.begun == state.ended;
-            if is_next || state.early.len() >= EARLY_LIMIT {
+            let index = state.scanned;
+            state.scanned += 1;
+            // If all requests before this one are answered, hyper will read it now.
+            let is_next = index == state.started && state.started == state.answered;
+            if is_next || state.early.len() >= MAX_EARLY_CALLS {
                 continue;
             }
             if call::may_start_early(&self.node, &request) {
-                let early = self.start(index, request);
+                let early = self.start_early(index, request);
                 state.early.push_back(early);
             }
         }
     }
 
-    fn start(&self, index: u64, request: Request<()>) -> EarlyCall {
+    fn start_early(&self, index: u64, request: Request<()>) -> EarlyCall {
         let (method, uri) = (request.method().clone(), request.uri().clone());
         let headers = request.headers().clone();
         let node = self.node.clone();
@@ -223,7 +232,7 @@
     }
 }
 
-/// A connection whose bytes are looked at as they are read.
+/// A connection that passes the bytes read from it to a pipeline's scanner.
 #[derive(Debug)]
 pub struct PeekStream<S> {
     stream: S,
@@ -231,7 +240,7 @@
 }
 
 impl<S> PeekStream<S> {
-    /// Returns `stream`, which shows what it reads to `pipeline`.
+    /// Wraps `stream` so that `pipeline` scans what is read from it.
     pub fn new(stream: S, pipeline: CallPipeline) -> Self {
         Self { stream, pipeline }
     }
@@ -246,9 +255,9 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let held = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        self.pipeline.look_ahead(&buffer.filled()[held..]);
+        self.pipeline.look_ahead(&buffer.filled()[filled_before..]);
         Poll::Ready(Ok(()))
     }
 }
--- a/wisteriaturnd/src/ingress/port.rs
+++ b/wisteriaturnd/src/ingress/port.rs
@@ -1,4 +1,4 @@
-//! The port for callers: one task for each connection.
+//! The listener for callers, with one task per connection.
 
 use tokio::net::TcpListener;
 use tokio_util::task::TaskTracker;
@@ -8,16 +8,16 @@
 use crate::ingress::pipeline::{CallPipeline, PeekStream};
 use crate::node::NodeHandle;
 
-/// Most headers of a request.
-const HEADER_LIMIT: usize = 100;
+/// Maximum number of headers in a request.
+const MAX_HEADERS: usize = 100;
 
-/// Accepts callers until the node stops.
+/// Accepts connections from callers until the node stops.
 pub async fn accept_task(node: NodeHandle, listener: TcpListener, tracker: TaskTracker) {
     let limits = PortLimits {
         max_connections: node.settings.tuning.max_connections,
         drop_cause: "ingress-connections",
         max_head_bytes: call::MAX_HEAD_BYTES,
-        max_headers: HEADER_LIMIT,
+        max_headers: MAX_HEADERS,
         is_for_callers: true,
     };
     accept_until_stopped(
--- a/wisteriaturnd/src/ingress/selection.rs
+++ b/wisteriaturnd/src/ingress/selection.rs
@@ -1,4 +1,4 @@
-//! The choice of a target for the next attempt of a call, with its log line.
+//! Target selection for the attempts of a call, and its log line.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,38 +11,44 @@
 use crate::ingress::attempt::RoutedCall;
 use crate::node::NodeHandle;
 
-/// Targets that may send a call on before it waits at the best of them: with a
-/// third of the targets full, three full ones in a row are met once in 27 calls.
-const CROWDED_LIMIT: usize = 3;
+/// Number of `crowded` refusals after which a call waits at the best of the
+/// targets instead of trying another one. If a third of the targets are full, one
+/// call in 27 meets three full ones in a row.
+const MAX_CROWDED_REFUSALS: usize = 3;
 
-/// The place of the next attempt.
+/// The target of an attempt.
 pub(crate) struct ChosenTarget {
-    /// The target.
+    /// The chosen target.
     pub(crate) target: TargetEntry,
-    /// Longest wait for a slot there that is better than going elsewhere.
+    /// Longest wait for a slot at this target that is still better than going to
+    /// another one. The gate refuses the call as `crowded` if it expects a longer
+    /// wait.
     pub(crate) max_wait: Duration,
     is_last_resort: bool,
 }
 
-/// Chooses the target of the next attempt. `tried` are those that had one and
-/// `crowded` those that sent the call on.
+/// Chooses the target of the next attempt, or returns `None` if there is none.
+///
+/// `crowded` holds the nodes that refused the call as `crowded`, and `tried` the
+/// nodes of all other attempts, which are not chosen again.
 pub(crate) fn choose_next_target(
     node: &NodeHandle,
     call: &RoutedCall,
     tried: &[NodeAddress],
     crowded: &[NodeAddress],
 ) -> Option<ChosenTarget> {
-    if !crowded.is_empty() && crowded.len() < CROWDED_LIMIT {
+    if !crowded.is_empty() && crowded.len() < MAX_CROWDED_REFUSALS {
         let excluded = [tried, crowded].concat();
-        let choice = choose_among(node, call, &excluded);
-        if choice.as_ref().is_some_and(|place| !place.is_last_resort) {
+        let choice = choose_excluding(node, call, &excluded);
+        if choice.as_ref().is_some_and(|chosen| !chosen.is_last_resort) {
             return choice;
         }
     }
-    let choice = choose_among(node, call, tried)?;
+    let choice = choose_excluding(node, call, tried)?;
     Some(match crowded {
         [] => choice,
-        // These targets told their load just now, so the least wait is known.
+        // The crowded targets have just reported their load, so the target with the
+        // shortest wait is known.
         _ => ChosenTarget {
             max_wait: Duration::MAX,
             ..choice
@@ -50,14 +56,15 @@
     })
 }
 
-fn choose_among(
+fn choose_excluding(
     node: &NodeHandle,
     call: &RoutedCall,
-    tried: &[NodeAddress],
+    excluded: &[NodeAddress],
 ) -> Option<ChosenTarget> {
     let service = &call.service.spec.name;
-    // A retry looks at the newest targets; the routes stay those of the call.
-    let targets = if tried.is_empty() {
+    // A retry uses the current list of targets, while the route and the service
+    // stay those of the call's own view.
+    let targets = if excluded.is_empty() {
         call.view.targets(service)
     } else {
         node.view.load().find_targets(service)?
@@ -71,24 +78,40 @@
         targets
     };
     let now = node.clock.now();
-    let demand = demand(node, call, now);
+    let requirements = requirements(node, call, now);
     let choice = node.load.with_service(service, |load| {
         let policy = &call.service.policy;
         let mut rng = rand::rng();
-        match &demand {
-            Some(demand) => {
+        match &requirements {
+            Some(requirements) => {
                 let route = &call.route.spec.name;
-                let calls = PlacementRequest {
+                let request = PlacementRequest {
                     route,
-                    requirements: demand,
-                    tried,
+                    requirements,
+                    tried: excluded,
                 };
-                choose_cheapest_target(&node.location, &targets, policy, load, calls, now, &mut rng)
+                choose_cheapest_target(
+                    &node.location,
+                    &targets,
+                    policy,
+                    load,
+                    request,
+                    now,
+                    &mut rng,
+                )
             }
-            None => choose_target(&node.location, &targets, policy, load, tried, now, &mut rng),
+            None => choose_target(
+                &node.location,
+                &targets,
+                policy,
+                load,
+                excluded,
+                now,
+                &mut rng,
+            ),
         }
     });
-    log_choice(call, &choice, tried.len() + 1, now);
+    log_choice(call, &choice, excluded.len() + 1, now);
     choice.chosen.map(|index| ChosenTarget {
         target: targets[index].clone(),
         max_wait: choice.max_wait,
@@ -96,16 +119,16 @@
     })
 }
 
-/// Returns what the call asks of its place, where its route says within which
-/// time an answer is worth most.
-fn demand(node: &NodeHandle, call: &RoutedCall, now: Instant) -> Option<CallRequirements> {
+/// Returns what the call requires of its target, or `None` if the route sets no
+/// target latency.
+fn requirements(node: &NodeHandle, call: &RoutedCall, now: Instant) -> Option<CallRequirements> {
     call.route.spec.target_latency_ms?;
-    let expected = node.answer_estimates.estimate(&call.route.spec.name);
+    let estimate = node.answer_estimates.estimate(&call.route.spec.name);
     Some(CallRequirements {
         late_after: call.soft_deadline.remaining(now),
         deadline: call.deadline.remaining(now),
-        answer_bytes: expected.bytes,
-        expected_run_time: expected.run_time,
+        answer_bytes: estimate.bytes,
+        expected_run_time: estimate.run_time,
     })
 }
 
