--- a/testing/src/bin/log-standin.rs
+++ b/testing/src/bin/log-standin.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the platform's append-only log, with the failures that the
-//! real one has: outages, slowness, lost answers, a limit of appends a second
-//! and records that are no longer kept.
+//! A stand-in for the platform's append-only log that simulates the failures of the
+//! real one: outages, slow answers, lost answers, a limit on appends per second, and
+//! records that are trimmed from the start of a stream.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -33,30 +33,33 @@
     listen: Option<SocketAddr>,
 }
 
-/// How the log misbehaves; each order replaces the one before.
+/// The failures that the log simulates, as the last `POST /behaviour` set them.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct LogBehaviour {
-    /// Answer everything with 503.
+    /// Answer every append and read with status 503.
     outage: bool,
-    /// Never answer.
+    /// Never answer an append or a read.
     hang: bool,
-    /// Wait before each answer.
+    /// Delay before each append or read is handled.
     delay_ms: u64,
-    /// Number of appends that take effect without an answer.
+    /// Number of appends that are stored, but answered with status 503.
     lose_answers: u32,
-    /// Number of appends that take effect only this long after their error.
+    /// Number of appends that are answered with status 503 and stored only after
+    /// `late_ms`.
     late_appends: u32,
-    /// How late those are.
+    /// Time between the answer of a late append and its storing.
     late_ms: u64,
-    /// Streams and the first offset that each still keeps.
+    /// First offset that is still available, by stream name.
     trim: HashMap<String, u64>,
-    /// Most appends a second; 0 for no limit.
+    /// Maximum rate of appends; 0 for no limit.
     appends_per_second: u32,
 }
 
 #[derive(Debug, Default)]
 struct LogStream {
+    /// First offset that is still available. Trimmed records stay in `records`, so
+    /// that offsets remain indices.
     first: u64,
     records: Vec<Bytes>,
 }
@@ -103,14 +106,14 @@
     }
 }
 
-fn reply(status: StatusCode, value: &Value) -> LogResponse {
+fn json_response(status: StatusCode, value: &Value) -> LogResponse {
     let mut response = Response::new(Full::new(Bytes::from(value.to_string())));
     *response.status_mut() = status;
     response
 }
 
-fn outage() -> LogResponse {
-    reply(
+fn unavailable() -> LogResponse {
+    json_response(
         StatusCode::SERVICE_UNAVAILABLE,
         &json!({ "error": "outage" }),
     )
@@ -120,11 +123,11 @@
     let (parts, body) = request.into_parts();
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return outage(),
+        Err(_) => return unavailable(),
     };
     let path = parts.uri.path().trim_matches('/').to_owned();
     if path == "behaviour" && parts.method == Method::GET {
-        return usage(state);
+        return request_counts(state);
     }
     if path == "behaviour" {
         return set_behaviour(state, &body);
@@ -135,11 +138,11 @@
     }
     tokio::time::sleep(Duration::from_millis(behaviour.delay_ms)).await;
     if behaviour.outage {
-        return outage();
+        return unavailable();
     }
-    let names: Vec<&str> = path.split('/').collect();
-    let &["streams", stream, "records"] = names.as_slice() else {
-        return reply(StatusCode::NOT_FOUND, &json!({ "error": "no such path" }));
+    let segments: Vec<&str> = path.split('/').collect();
+    let &["streams", stream, "records"] = segments.as_slice() else {
+        return json_response(StatusCode::NOT_FOUND, &json!({ "error": "no such path" }));
     };
     if parts.method == Method::POST {
         state.appends.fetch_add(1, Ordering::Relaxed);
@@ -149,17 +152,17 @@
     }
 }
 
-/// Says how much the log was used.
-fn usage(state: &LogState) -> LogResponse {
+/// Returns the number of requests that the log has served.
+fn request_counts(state: &LogState) -> LogResponse {
     let value = json!({
         "appends": state.appends.load(Ordering::Relaxed),
         "reads": state.reads.load(Ordering::Relaxed),
         "open_reads": state.open_reads.load(Ordering::Relaxed),
     });
-    reply(StatusCode::OK, &value)
+    json_response(StatusCode::OK, &value)
 }
 
-/// Counts a read that waits for a record until it is dropped.
+/// Counts a long-polling read as open until it is dropped.
 struct OpenRead<'a>(&'a AtomicU64);
 
 impl<'a> OpenRead<'a> {
@@ -183,71 +186,76 @@
                 streams.entry(name.clone()).or_default().first = *first;
             }
             *state.behaviour.lock().expect("no panic") = behaviour;
-            reply(StatusCode::OK, &json!({}))
+            json_response(StatusCode::OK, &json!({}))
         }
-        Err(error) => reply(
+        Err(error) => json_response(
             StatusCode::BAD_REQUEST,
             &json!({ "error": error.to_string() }),
         ),
     }
 }
 
+/// Appends a record, subject to the rate limit and the simulated failures.
 async fn append(
     state: &Arc<LogState>,
     stream: &str,
-    data: Bytes,
+    record: Bytes,
     behaviour: &LogBehaviour,
 ) -> LogResponse {
     if behaviour.appends_per_second > 0 {
-        let step = Duration::from_secs(1) / behaviour.appends_per_second;
-        let turn = {
+        let interval = Duration::from_secs(1) / behaviour.appends_per_second;
+        let start_at = {
             let mut next = state.next_append.lock().expect("no panic");
-            *next = (*next).max(Instant::now()) + step;
+            *next = (*next).max(Instant::now()) + interval;
             *next
         };
-        tokio::time::sleep_until(turn.into()).await;
+        tokio::time::sleep_until(start_at.into()).await;
     }
-    let is_late = take_one(state, |behaviour| &mut behaviour.late_appends);
+    let is_late = take_from_counter(state, |behaviour| &mut behaviour.late_appends);
     if is_late {
         let (state, stream) = (Arc::clone(state), stream.to_owned());
         let late = Duration::from_millis(behaviour.late_ms);
         tokio::spawn(async move {
             tokio::time::sleep(late).await;
-            push(&state, &stream, data);
+            store_record(&state, &stream, record);
         });
-        return outage();
+        return unavailable();
     }
-    let offset = push(state, stream, data);
-    if take_one(state, |behaviour| &mut behaviour.lose_answers) {
-        return outage();
+    let offset = store_record(state, stream, record);
+    if take_from_counter(state, |behaviour| &mut behaviour.lose_answers) {
+        return unavailable();
     }
-    reply(StatusCode::OK, &json!({ "offset": offset }))
+    json_response(StatusCode::OK, &json!({ "offset": offset }))
 }
 
-fn push(state: &LogState, stream: &str, data: Bytes) -> u64 {
+/// Stores a record, wakes the reads that wait for one, and returns its offset.
+fn store_record(state: &LogState, stream: &str, record: Bytes) -> u64 {
     let offset = {
         let mut streams = state.streams.lock().expect("no panic");
         let stream = streams.entry(stream.to_owned()).or_default();
-        stream.records.push(data);
+        stream.records.push(record);
         stream.records.len() as u64 - 1
     };
     state.appended.send_modify(|count| *count += 1);
     offset
 }
 
-fn take_one<F>(state: &LogState, counter: F) -> bool
+/// Decrements one of the behaviour's counters. Returns `false` if it was already 0.
+fn take_from_counter<F>(state: &LogState, counter: F) -> bool
 where
     F: FnOnce(&mut LogBehaviour) -> &mut u32,
 {
     let mut behaviour = state.behaviour.lock().expect("no panic");
-    let left = counter(&mut behaviour);
-    let has_one = *left > 0;
-    *left = left.saturating_sub(1);
-    has_one
+    let remaining = counter(&mut behaviour);
+    let is_taken = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    is_taken
 }
 
+/// Returns the records from an offset on. If there are none, waits up to `wait_ms` for
+/// one.
 async fn read(state: &LogState, stream: &str, query: &str) -> LogResponse {
-    let number = |key: &str| -> u64 {
+    let parameter = |key: &str| -> u64 {
         query
             .split('&')
             .filter_map(|pair| pair.split_once('='))
@@ -256,31 +264,32 @@
             .unwrap_or_default()
     };
     state.reads.fetch_add(1, Ordering::Relaxed);
-    let _open = (number("wait_ms") > 0).then(|| OpenRead::new(&state.open_reads));
-    let (from, limit) = (number("from"), number("limit").max(1));
-    let until = Instant::now() + Duration::from_millis(number("wait_ms"));
+    let _open_read = (parameter("wait_ms") > 0).then(|| OpenRead::new(&state.open_reads));
+    let (from, limit) = (parameter("from"), parameter("limit").max(1));
+    let deadline = Instant::now() + Duration::from_millis(parameter("wait_ms"));
     let mut appended = state.appended.subscribe();
     loop {
         appended.mark_unchanged();
         let answer = read_now(state, stream, from, limit as usize);
-        if answer.1 || Instant::now() >= until {
+        if answer.1 || Instant::now() >= deadline {
             return answer.0;
         }
-        let _ = tokio::time::timeout_at(until.into(), appended.changed()).await;
+        let _ = tokio::time::timeout_at(deadline.into(), appended.changed()).await;
     }
 }
 
-/// Returns an answer and whether it need not wait for a record.
+/// Reads without waiting. Returns the response and `true` if a long-polling read
+/// gets it at once: it has records or reports that the offset was trimmed.
 fn read_now(state: &LogState, stream: &str, from: u64, limit: usize) -> (LogResponse, bool) {
     let mut streams = state.streams.lock().expect("no panic");
     let stream = streams.entry(stream.to_owned()).or_default();
     if from < stream.first {
-        let gone = reply(StatusCode::GONE, &json!({ "first": stream.first }));
+        let gone = json_response(StatusCode::GONE, &json!({ "first": stream.first }));
         return (gone, true);
     }
     let records: Vec<Value> = (from..)
         .zip(stream.records.iter().skip(from as usize).take(limit))
-        .map(|(offset, data)| json!({ "offset": offset, "data": STANDARD.encode(data) }))
+        .map(|(offset, record)| json!({ "offset": offset, "data": STANDARD.encode(record) }))
         .collect();
     let has_records = !records.is_empty();
     let value = json!({
@@ -288,5 +297,5 @@
         "next": stream.records.len(),
         "records": records,
     });
-    (reply(StatusCode::OK, &value), has_records)
+    (json_response(StatusCode::OK, &value), has_records)
 }
--- a/testing/src/bin/target-standin.rs
+++ b/testing/src/bin/target-standin.rs
@@ -1,5 +1,6 @@
-//! A stand-in for a target: announces itself, runs calls as their headers
-//! say, and notes each run in a file that outlives it.
+//! A stand-in for a target. It announces itself to a node, serves calls in the way
+//! that their headers ask for, and appends the ID of each run to a file that
+//! outlives the process.
 
 use std::convert::Infallible;
 use std::io::Write;
@@ -28,8 +29,8 @@
 /// How often the target announces itself.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest wait for calls in flight when the target leaves.
-const LEAVE_TIME: Duration = Duration::from_secs(30);
+/// Timeout for calls in flight when the target stops.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Options)]
 struct TargetOptions {
@@ -37,15 +38,18 @@
     help: bool,
     #[options(help = "address to listen on", meta = "ADDRESS")]
     listen: Option<SocketAddr>,
-    #[options(help = "admin address of the node beside", meta = "ADDRESS")]
+    #[options(help = "admin address of the node to announce to", meta = "ADDRESS")]
     admin: Option<SocketAddr>,
-    #[options(help = "ingress address of the node beside", meta = "ADDRESS")]
+    #[options(
+        help = "ingress address of that node, for further calls",
+        meta = "ADDRESS"
+    )]
     ingress: Option<SocketAddr>,
     #[options(help = "service to announce", meta = "NAME")]
     service: String,
-    #[options(help = "calls run at once", meta = "COUNT", default = "6")]
+    #[options(help = "number of calls served at once", meta = "COUNT", default = "6")]
     slots: u16,
-    #[options(help = "file that gets a line for each run", meta = "FILE")]
+    #[options(help = "file to which the ID of each run is appended", meta = "FILE")]
     runs: Option<PathBuf>,
 }
 
@@ -61,23 +65,25 @@
     runs: Option<PathBuf>,
     capacity: Arc<Semaphore>,
     running: AtomicUsize,
-    is_leaving: AtomicBool,
+    is_draining: AtomicBool,
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<()> {
     let options = TargetOptions::parse_args_default_or_exit();
-    let address = options.listen.ok_or_else(|| eyre!("--listen is needed"))?;
+    let address = options
+        .listen
+        .ok_or_else(|| eyre!("--listen is required"))?;
     let state = Arc::new(TargetState {
         address,
-        admin: options.admin.ok_or_else(|| eyre!("--admin is needed"))?,
+        admin: options.admin.ok_or_else(|| eyre!("--admin is required"))?,
         ingress: options.ingress,
         service: options.service,
         slots: options.slots,
         runs: options.runs,
         capacity: Arc::new(Semaphore::new(usize::from(options.slots))),
         running: AtomicUsize::new(0),
-        is_leaving: AtomicBool::new(false),
+        is_draining: AtomicBool::new(false),
     });
     let listener = TcpListener::bind(address).await?;
     tokio::spawn(announce_task(Arc::clone(&state)));
@@ -97,7 +103,7 @@
                 tokio::spawn(connection);
             }
             _ = terminate.recv() => {
-                tokio::spawn(leave(Arc::clone(&state)));
+                tokio::spawn(drain(Arc::clone(&state)));
             }
         }
     }
@@ -115,20 +121,21 @@
         "service": state.service,
         "address": state.address,
         "slots": state.slots,
-        "draining": state.is_leaving.load(Ordering::Relaxed),
+        "draining": state.is_draining.load(Ordering::Relaxed),
     });
     let _ = client::post(state.admin, "/v1/targets", &body.to_string()).await;
 }
 
-/// Leaves as planned: says so, ends the calls in flight, then exits.
-async fn leave(state: Arc<TargetState>) {
-    state.is_leaving.store(true, Ordering::Relaxed);
+/// Drains and exits: announces that the target is draining, waits for the calls in
+/// flight, then ends the process.
+async fn drain(state: Arc<TargetState>) {
+    state.is_draining.store(true, Ordering::Relaxed);
     announce(&state).await;
-    let until = tokio::time::Instant::now() + LEAVE_TIME;
-    while state.running.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < until {
+    let deadline = tokio::time::Instant::now() + DRAIN_TIMEOUT;
+    while state.running.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    // The last answers are still on their way out.
+    // The last answers may not have been sent yet.
     tokio::time::sleep(Duration::from_millis(200)).await;
     std::process::exit(0);
 }
@@ -145,22 +152,22 @@
 
 async fn run(state: &TargetState, request: Request<Incoming>) -> Response<TargetBody> {
     let (parts, body) = request.into_parts();
-    note_run(state, &parts.headers);
+    record_run(state, &parts.headers);
     if parts.headers.contains_key("x-crash") {
         std::process::abort();
     }
-    let mut length = 0;
+    let mut received = 0;
     let mut body = body;
     let mut first = Bytes::new();
     while let Some(Ok(frame)) = body.frame().await {
         if let Ok(data) = frame.into_data() {
-            length += data.len();
+            received += data.len();
             if first.is_empty() {
                 first = data;
             }
         }
     }
-    let number = |name: &str| -> u64 {
+    let header_number = |name: &str| -> u64 {
         let value = parts
             .headers
             .get(name)
@@ -169,17 +176,17 @@
             .and_then(|value| value.parse().ok())
             .unwrap_or_default()
     };
-    let sleep = number("x-sleep-ms");
+    let sleep = header_number("x-sleep-ms");
     if sleep > 0 {
-        // A target has the capacity of its slots, whoever calls it, and does
-        // not notice that a caller left. A sleep of 0 would still wait for the
-        // next tick of the timer.
+        // As in a real target, the slots limit all callers together, and a call
+        // keeps its slot even after its caller has disconnected. Without the
+        // check for 0, the sleep would last until the timer's next tick.
         let capacity = Arc::clone(&state.capacity);
-        let work = async move {
+        let occupy_slot = async move {
             let _slot = capacity.acquire().await;
             tokio::time::sleep(Duration::from_millis(sleep)).await;
         };
-        let _ = tokio::spawn(work).await;
+        let _ = tokio::spawn(occupy_slot).await;
     }
     if parts.headers.contains_key("x-stall") {
         return Response::new(stalled_body());
@@ -192,11 +199,11 @@
         .get("x-next")
         .and_then(|value| value.to_str().ok())
     {
-        Some(next) => call_next(state, next, &parts.headers).await,
-        None => number("x-status").max(200) as u16,
+        Some(next) => call_next_service(state, next, &parts.headers).await,
+        None => header_number("x-status").max(200) as u16,
     };
-    let size = number("x-answer-bytes") as usize;
-    let text = if size > 0 {
+    let size = header_number("x-answer-bytes") as usize;
+    let content = if size > 0 {
         Bytes::from(vec![b'x'; size])
     } else {
         let headers: Vec<String> = parts.headers.keys().map(ToString::to_string).collect();
@@ -205,20 +212,20 @@
                 "target": state.address,
                 "method": parts.method.as_str(),
                 "path": parts.uri.to_string(),
-                "received": length,
+                "received": received,
                 "headers": headers,
                 "id": parts.headers.get("x-run").and_then(|value| value.to_str().ok()),
             })
             .to_string(),
         )
     };
-    let whole = Full::new(text).map_err(|never| match never {});
-    let mut response = Response::new(whole.boxed_unsync());
+    let body = Full::new(content).map_err(|never| match never {});
+    let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
     response
 }
 
-/// Returns a body that breaks off after its first bytes.
+/// Returns a body that fails after its first bytes.
 fn cut_body() -> TargetBody {
     let frames = [
         Ok(Frame::data(Bytes::from(vec![b'x'; 1_000]))),
@@ -227,15 +234,16 @@
     StreamBody::new(futures_util::stream::iter(frames)).boxed_unsync()
 }
 
-/// Returns a body that stops after its first bytes and stays open.
+/// Returns a body that sends no more after its first bytes, but stays open.
 fn stalled_body() -> TargetBody {
     let first = futures_util::stream::iter([Ok(Frame::data(Bytes::from(vec![b'x'; 1_000])))]);
     let rest = futures_util::stream::pending();
     StreamBody::new(futures_util::StreamExt::chain(first, rest)).boxed_unsync()
 }
 
-/// Notes the run before it does anything, as a booking would be noted.
-fn note_run(state: &TargetState, headers: &HeaderMap) {
+/// Appends the run's ID to the file before the call does anything else, as a booking
+/// is recorded, so that a run counts even if the process crashes later.
+fn record_run(state: &TargetState, headers: &HeaderMap) {
     let id = headers.get("x-run").and_then(|value| value.to_str().ok());
     let (Some(id), Some(path)) = (id, &state.runs) else {
         return;
@@ -249,9 +257,9 @@
     }
 }
 
-/// Calls the first of the comma-separated services through the own node, with
-/// the others to follow, and passes its status on.
-async fn call_next(state: &TargetState, next: &str, headers: &HeaderMap) -> u16 {
+/// Calls the first of the comma-separated services through the target's node, passes
+/// the other services on in `x-next`, and returns the status of the response.
+async fn call_next_service(state: &TargetState, next: &str, headers: &HeaderMap) -> u16 {
     let Some(ingress) = state.ingress else {
         return 500;
     };
@@ -260,16 +268,16 @@
     let deadline = deadline
         .and_then(|value| value.to_str().ok())
         .unwrap_or("10000");
-    let mut sent = vec![("wisteriaturn-deadline-ms", deadline)];
+    let mut forwarded = vec![("wisteriaturn-deadline-ms", deadline)];
     if !rest.is_empty() {
-        sent.push(("x-next", rest));
+        forwarded.push(("x-next", rest));
     }
     for name in ["x-run", "x-status", "x-sleep-ms"] {
         if let Some(value) = headers.get(name).and_then(|value| value.to_str().ok()) {
-            sent.push((name, value));
+            forwarded.push((name, value));
         }
     }
-    match client::send(ingress, "GET", &format!("/{service}"), &sent, b"").await {
+    match client::send(ingress, "GET", &format!("/{service}"), &forwarded, b"").await {
         Ok(reply) => reply.status,
         Err(_) => 502,
     }
--- a/testing/src/client.rs
+++ b/testing/src/client.rs
@@ -1,4 +1,5 @@
-//! A small HTTP client: one exchange, optionally over a kept connection.
+//! A small HTTP/1 client for single requests, each over a new connection or over
+//! one that the caller keeps open.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,13 +13,13 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time for one exchange.
-pub const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of one request, including the connection attempt.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A whole answer.
+/// An HTTP response with its whole body.
 #[derive(Debug, Clone)]
 pub struct HttpReply {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
@@ -27,7 +28,8 @@
 }
 
 impl HttpReply {
-    /// Returns a header's text, or nothing as an empty text.
+    /// Returns the value of a header, or an empty string if it is missing or not
+    /// text.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value
@@ -35,23 +37,24 @@
             .unwrap_or_default()
     }
 
-    /// Returns what the mesh says became of the call.
+    /// Returns the call's outcome as the mesh reports it, such as `done` or
+    /// `not-run`.
     pub fn outcome(&self) -> &str {
         self.header("wisteriaturn-outcome")
     }
 
-    /// Returns the body as JSON.
+    /// Returns the body as JSON, or `null` if it isn't valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Returns the body as text.
+    /// Returns the body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// A kept connection.
+/// An open connection that sends one request after the other.
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
@@ -59,16 +62,16 @@
 }
 
 impl HttpConnection {
-    /// Opens a connection.
+    /// Connects to `address`.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-        tokio::spawn(connection);
+        let (sender, driver) = handshake(TokioIo::new(stream)).await?;
+        tokio::spawn(driver);
         Ok(Self { sender, address })
     }
 
-    /// Makes one exchange.
+    /// Sends a request and waits for the whole response.
     pub async fn send(
         &mut self,
         method: &str,
@@ -95,7 +98,8 @@
     }
 }
 
-/// Makes one exchange over a connection of its own.
+/// Sends a request over a new connection and waits for the whole response, at most
+/// [`REQUEST_TIMEOUT`].
 pub async fn send(
     address: SocketAddr,
     method: &str,
@@ -104,20 +108,20 @@
     body: &[u8],
 ) -> Result<HttpReply> {
     let exchange = async {
-        let mut link = HttpConnection::open(address).await?;
-        link.send(method, path, headers, body).await
+        let mut connection = HttpConnection::open(address).await?;
+        connection.send(method, path, headers, body).await
     };
-    timeout(EXCHANGE_TIMEOUT, exchange)
+    timeout(REQUEST_TIMEOUT, exchange)
         .await
-        .map_err(|_| eyre!("no answer from {address} in time"))?
+        .map_err(|_| eyre!("no response from {address} within {REQUEST_TIMEOUT:?}"))?
 }
 
-/// Gets a path.
+/// Sends a `GET` request.
 pub async fn get(address: SocketAddr, path: &str) -> Result<HttpReply> {
     send(address, "GET", path, &[], b"").await
 }
 
-/// Posts JSON.
+/// Sends a `POST` request with a JSON body.
 pub async fn post(address: SocketAddr, path: &str, body: &str) -> Result<HttpReply> {
     send(address, "POST", path, &[], body.as_bytes()).await
 }
--- a/testing/src/cluster.rs
+++ b/testing/src/cluster.rs
@@ -1,7 +1,7 @@
 //! A mesh of real processes on loopback: the log stand-in, nodes and targets.
 //!
-//! Each cluster has a network of its own within 127.0.0.0/8 and fixed ports,
-//! so that clusters of parallel tests cannot meet.
+//! The ports are fixed, and each cluster has its own subnet of 127.0.0.0/8, so that
+//! clusters of tests that run in parallel can't reach each other.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,16 +15,17 @@
 pub use crate::plan::{ClusterPlan, DATA_CENTRES, MESH_SECRET};
 use crate::process::{OwnedProcess, program_path};
 
-/// Longest wait for a condition. It is far above what the conditions need, so
-/// that a busy machine does not decide a test.
+/// Timeout of every wait for a condition. It is far above what the conditions need,
+/// so that no test fails because the machine is busy.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-const STEP: Duration = Duration::from_millis(20);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A mesh that runs.
+/// A mesh of processes, all of which are killed when the cluster is dropped.
 #[derive(Debug)]
 pub struct TestCluster {
-    /// Folder of settings and outputs.
+    /// Folder of the settings files and process outputs.
     pub folder: PathBuf,
     plan: ClusterPlan,
     network: String,
@@ -34,7 +35,8 @@
 }
 
 impl TestCluster {
-    /// Starts the log and all nodes, and waits until they are ready.
+    /// Starts the log and all nodes, and waits until the nodes are ready and know
+    /// each other.
     pub async fn start(plan: ClusterPlan) -> Result<Self> {
         let mut cluster = Self::prepare(plan)?;
         cluster.start_log()?;
@@ -45,7 +47,7 @@
         Ok(cluster)
     }
 
-    /// Makes a cluster of which nothing runs yet.
+    /// Writes the settings of a cluster without starting any process.
     pub fn prepare(plan: ClusterPlan) -> Result<Self> {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -69,12 +71,12 @@
     }
 
     fn write_settings(&self, index: usize) -> Result<()> {
-        let (region, place) = self.location(index);
+        let (region, data_centre) = self.location(index);
         let seeds: Vec<String> = (0..self.plan.nodes.min(4))
             .map(|seed| format!("\"{}\"", self.peer(seed)))
             .collect();
         let text = format!(
-            "region = \"{region}\"\ndata_centre = \"{place}\"\nseeds = [{}]\n\
+            "region = \"{region}\"\ndata_centre = \"{data_centre}\"\nseeds = [{}]\n\
              mesh_secrets = [\"{MESH_SECRET}\"]\nlog_level = \"{}\"\n\
              strict = {}\n\n[listen]\ningress = \"{}\"\nadmin = \"{}\"\nhop = \"{}\"\n\
              peer = \"{}\"\n\n[log]\naddress = \"{}\"\ndata_centre = \"r1-a\"\n\n[tuning]\n{}\n",
@@ -92,22 +94,23 @@
         Ok(())
     }
 
-    /// Returns the settings file of a node.
+    /// Returns the path of a node's settings file.
     pub fn settings_path(&self, index: usize) -> PathBuf {
         self.folder.join(format!("node-{index}.toml"))
     }
 
-    /// Returns the output file of a node.
+    /// Returns the path of the file with a node's output.
     pub fn output_path(&self, index: usize) -> PathBuf {
         self.folder.join(format!("node-{index}.log"))
     }
 
-    /// Returns the file in which the targets note their runs.
+    /// Returns the path of the file to which the targets append the ID of each run.
     pub fn runs_path(&self) -> PathBuf {
         self.folder.join("runs")
     }
 
-    /// Returns the region and the data centre of a node.
+    /// Returns the region and data centre of a node. Nodes are assigned to the data
+    /// centres in turn.
     pub fn location(&self, index: usize) -> (&'static str, &'static str) {
         DATA_CENTRES[index % self.plan.data_centres.clamp(1, DATA_CENTRES.len())]
     }
@@ -122,27 +125,28 @@
         self.address(253, 7000)
     }
 
-    /// Returns the address for callers.
+    /// Returns the address on which a node accepts calls.
     pub fn ingress(&self, index: usize) -> SocketAddr {
         self.address(index, 7080)
     }
 
-    /// Returns the address for operators.
+    /// Returns the address of a node's admin API.
     pub fn admin(&self, index: usize) -> SocketAddr {
         self.address(index, 7081)
     }
 
-    /// Returns the address for calls of other nodes.
+    /// Returns the address on which a node accepts calls from other nodes.
     pub fn hop(&self, index: usize) -> SocketAddr {
         self.address(index, 7082)
     }
 
-    /// Returns the address for messages of other nodes.
+    /// Returns the address on which a node accepts control messages from other
+    /// nodes.
     pub fn peer(&self, index: usize) -> SocketAddr {
         self.address(index, 7083)
     }
 
-    /// Returns the address of the target beside a node.
+    /// Returns the address of the target that a node announces.
     pub fn target_address(&self, index: usize) -> SocketAddr {
         self.address(index, 7090)
     }
@@ -159,9 +163,10 @@
         Ok(())
     }
 
-    /// Tells the log stand-in how to behave.
+    /// Sets the failures that the log stand-in simulates. `behaviour` is a JSON
+    /// object that replaces the previous one.
     pub async fn set_log_behaviour(&self, behaviour: &str) -> Result<()> {
-        self.wait_for("the log to take an order", async || {
+        self.wait_for("the log to accept a new behaviour", async || {
             let set = client::post(self.log_address(), "/behaviour", behaviour).await;
             set.is_ok_and(|reply| reply.status == 200)
         })
@@ -180,7 +185,7 @@
         Ok(())
     }
 
-    /// Starts the target beside a node.
+    /// Starts the target that a node announces.
     pub fn start_target(&mut self, index: usize, service: &str, slots: u16) -> Result<()> {
         let arguments = vec![
             format!("--listen={}", self.target_address(index)),
@@ -197,36 +202,43 @@
     }
 
     /// Returns the process of a node.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the node isn't started.
     pub fn node_process(&mut self, index: usize) -> &mut OwnedProcess {
-        self.nodes[index].as_mut().expect("the node was started")
+        self.nodes[index].as_mut().expect("the node is started")
     }
 
-    /// Returns the process id of a node.
+    /// Returns the process ID of a node, or 0 if it isn't started.
     pub fn node_pid(&self, index: usize) -> u32 {
         self.nodes[index].as_ref().map_or(0, OwnedProcess::pid)
     }
 
-    /// Returns the process of a target.
+    /// Returns the process of the target that a node announces.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the target isn't started.
     pub fn target_process(&mut self, index: usize) -> &mut OwnedProcess {
-        self.targets[index]
-            .as_mut()
-            .expect("the target was started")
+        self.targets[index].as_mut().expect("the target is started")
     }
 
-    /// Waits until a condition holds.
+    /// Polls until a condition holds. `what` completes "timed out waiting for" in
+    /// the error that is returned after [`WAIT_TIMEOUT`].
     pub async fn wait_for<F>(&self, what: &str, mut condition: F) -> Result<()>
     where
         F: AsyncFnMut() -> bool,
     {
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while Instant::now() < deadline {
             if condition().await {
                 return Ok(());
             }
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Err(eyre!(
-            "waited in vain for {what}; outputs are in {}",
+            "timed out waiting for {what}; process outputs are in {}",
             self.folder.display()
         ))
     }
@@ -236,10 +248,10 @@
         for index in 0..self.plan.nodes {
             self.wait_node_ready(index).await?;
         }
-        let all = self.plan.nodes as u64;
+        let node_count = self.plan.nodes as u64;
         for index in 0..self.plan.nodes {
             self.wait_for("the nodes to know each other", async || {
-                self.status(index).await["live_members"] == json!(all)
+                self.status(index).await["live_members"] == json!(node_count)
             })
             .await?;
         }
@@ -255,63 +267,76 @@
         .await
     }
 
-    /// Waits until one node has opened its ports.
+    /// Waits until one node listens on its admin port.
     pub async fn wait_node_listening(&self, index: usize) -> Result<()> {
-        self.wait_for(&format!("node {index} to open its ports"), async || {
-            client::get(self.admin(index), "/health").await.is_ok()
-        })
+        self.wait_for(
+            &format!("node {index} to listen on its admin port"),
+            async || client::get(self.admin(index), "/health").await.is_ok(),
+        )
         .await
     }
 
-    /// Returns the status of a node, or nothing when it does not answer.
+    /// Returns the status of a node, or `null` if it doesn't answer.
     pub async fn status(&self, index: usize) -> Value {
         let reply = client::get(self.admin(index), "/v1/status").await;
         reply.map(|reply| reply.json()).unwrap_or_default()
     }
 
-    /// Returns the metrics of a node.
+    /// Returns the metrics of a node, or an empty string if it doesn't answer.
     pub async fn metrics(&self, index: usize) -> String {
         let reply = client::get(self.admin(index), "/metrics").await;
         reply.map(|reply| reply.text()).unwrap_or_default()
     }
 
-    /// Applies a change through a node.
+    /// Submits a configuration change to a node.
     pub async fn apply(&self, index: usize, operations: Value) -> Result<HttpReply> {
         let body = json!({ "operations": operations }).to_string();
         client::post(self.admin(index), "/v1/changes", &body).await
     }
 
-    /// Applies a change that must be accepted and returns its version.
+    /// Submits a configuration change to a node and returns its version.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the node doesn't accept the change.
     pub async fn apply_accepted(&self, index: usize, operations: Value) -> Result<u64> {
-        let reply = self.apply(index, operations).await.wrap_err("apply")?;
+        let reply = self
+            .apply(index, operations)
+            .await
+            .wrap_err("cannot submit the change")?;
         match reply.json()["version"].as_u64() {
             Some(version) if reply.status == 200 => Ok(version),
-            _ => Err(eyre!("not accepted: {} {}", reply.status, reply.text())),
+            _ => Err(eyre!(
+                "the change was not accepted: status {}, {}",
+                reply.status,
+                reply.text()
+            )),
         }
     }
 
-    /// Configures a service with a route at `/name`, and waits until all nodes
-    /// hold it.
+    /// Configures a service and a route to it at the path `/{name}`, and waits until
+    /// all running nodes have applied them. The keys of the object `route` are added
+    /// to the route.
     pub async fn add_service(&self, name: &str, route: Value) -> Result<()> {
-        let mut spec = json!({ "kind": "route", "name": name, "path": format!("/{name}"),
+        let mut resource = json!({ "kind": "route", "name": name, "path": format!("/{name}"),
             "services": [{ "service": name }] });
-        if let (Some(spec), Value::Object(more)) = (spec.as_object_mut(), route) {
-            spec.extend(more);
+        if let (Some(resource), Value::Object(extra_keys)) = (resource.as_object_mut(), route) {
+            resource.extend(extra_keys);
         }
         let service = json!({ "kind": "service", "name": name, "permit": ["127.0.0.0/8"] });
-        let operations = json!([{ "put": service }, { "put": spec }]);
+        let operations = json!([{ "put": service }, { "put": resource }]);
         let version = self.apply_accepted(0, operations).await?;
         self.wait_version(version).await
     }
 
-    /// Waits until all running nodes hold a version.
+    /// Waits until all running nodes have applied a configuration version.
     pub async fn wait_version(&self, version: u64) -> Result<()> {
         for index in 0..self.plan.nodes {
             if self.nodes[index].is_none() {
                 continue;
             }
             self.wait_for(
-                &format!("node {index} to hold version {version}"),
+                &format!("node {index} to apply version {version}"),
                 async || self.status(index).await["version"].as_u64() >= Some(version),
             )
             .await?;
@@ -332,7 +357,7 @@
         .await
     }
 
-    /// Returns how often each run id was executed by the targets.
+    /// Returns how often the targets have executed each run ID.
     pub fn run_counts(&self) -> std::collections::HashMap<String, usize> {
         let text = std::fs::read_to_string(self.runs_path()).unwrap_or_default();
         let mut runs = std::collections::HashMap::new();
@@ -342,17 +367,18 @@
         runs
     }
 
-    /// Kills a node.
+    /// Kills a node and waits until it has exited.
     pub fn kill_node(&mut self, index: usize) {
         self.nodes[index] = None;
     }
 
-    /// Kills a target.
+    /// Kills a target and waits until it has exited.
     pub fn kill_target(&mut self, index: usize) {
         self.targets[index] = None;
     }
 
-    /// Tells whether any node ended that was not told to.
+    /// Returns `true` if the process of a node has exited although
+    /// [`kill_node`](Self::kill_node) wasn't called for it.
     pub fn has_crashed_node(&mut self) -> bool {
         self.nodes
             .iter_mut()
@@ -360,7 +386,8 @@
             .any(|node| !node.is_running())
     }
 
-    /// Removes the folder; called by those who have no use for the outputs.
+    /// Removes the folder with the settings and outputs. A test calls it once it has
+    /// passed; after a failure the outputs stay for inspection.
     pub fn remove_folder(&self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
--- a/testing/src/forwarder.rs
+++ b/testing/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be cut.
+//! A TCP forwarder that simulates a network partition between two processes.
 
 use std::net::SocketAddr;
 
@@ -7,47 +7,54 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Forwards connections to one address until it is cut.
+/// Forwards TCP connections to one destination while the link is not partitioned.
 #[derive(Debug)]
 pub struct TcpForwarder {
-    /// Where to connect instead.
+    /// Address to connect to instead of the destination.
     pub address: SocketAddr,
-    is_cut: watch::Sender<bool>,
+    is_partitioned: watch::Sender<bool>,
 }
 
 impl TcpForwarder {
-    /// Opens a link to `target`.
-    pub async fn start(target: SocketAddr) -> Result<Self> {
+    /// Starts a forwarder to `destination` on a free loopback port.
+    pub async fn start(destination: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let is_cut = watch::Sender::new(false);
-        let orders = is_cut.subscribe();
+        let is_partitioned = watch::Sender::new(false);
+        let partition = is_partitioned.subscribe();
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(forward(near, target, orders.clone()));
+            while let Ok((inbound, _)) = listener.accept().await {
+                tokio::spawn(forward(inbound, destination, partition.clone()));
             }
         });
-        Ok(Self { address, is_cut })
+        Ok(Self {
+            address,
+            is_partitioned,
+        })
     }
 
-    /// Cuts the link, or heals it: connections break and new ones are closed
-    /// at once.
-    pub fn set_partitioned(&self, is_cut: bool) {
-        self.is_cut.send_replace(is_cut);
+    /// Partitions the link or restores it. While it is partitioned, open
+    /// connections are dropped and new ones are closed at once.
+    pub fn set_partitioned(&self, is_partitioned: bool) {
+        self.is_partitioned.send_replace(is_partitioned);
     }
 }
 
-async fn forward(mut near: TcpStream, target: SocketAddr, mut orders: watch::Receiver<bool>) {
-    if *orders.borrow() {
+async fn forward(
+    mut inbound: TcpStream,
+    destination: SocketAddr,
+    mut partition: watch::Receiver<bool>,
+) {
+    if *partition.borrow() {
         return;
     }
-    let Ok(mut far) = TcpStream::connect(target).await else {
+    let Ok(mut outbound) = TcpStream::connect(destination).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let _ = inbound.set_nodelay(true);
+    let _ = outbound.set_nodelay(true);
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => {}
-        _ = orders.wait_for(|is_cut| *is_cut) => {}
+        _ = copy_bidirectional(&mut inbound, &mut outbound) => {}
+        _ = partition.wait_for(|is_partitioned| *is_partitioned) => {}
     }
 }
--- a/testing/src/lib.rs
+++ b/testing/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what surrounds the mesh, and the means to run many processes
-//! of it on one machine. Kept small: the users' own bench will replace it.
+//! Test support: stand-ins for the targets and the log service, and clusters of
+//! node processes on one machine. It stays small, because the users' own test
+//! bench will replace it.
 
 pub mod client;
 pub mod cluster;
--- a/testing/src/plan.rs
+++ b/testing/src/plan.rs
@@ -1,9 +1,10 @@
-//! What a cluster is made of.
+//! The layout and settings of a test cluster.
 
-/// Secret of the meshes that are started here.
+/// The mesh secret of every test cluster.
 pub const MESH_SECRET: &str = "a secret for tests only";
 
-/// Regions and data centres of the letter's size: three and seven.
+/// The regions and data centres that nodes are placed in: three regions and seven
+/// data centres, as many as the users run.
 pub const DATA_CENTRES: [(&str, &str); 7] = [
     ("r1", "r1-a"),
     ("r1", "r1-b"),
@@ -14,18 +15,19 @@
     ("r3", "r3-c"),
 ];
 
-/// What a cluster is made of.
+/// The number and placement of a cluster's nodes, and settings that all of them
+/// share.
 #[derive(Debug, Clone)]
 pub struct ClusterPlan {
     /// Number of nodes.
     pub nodes: usize,
-    /// Number of data centres over which they are spread.
+    /// Number of data centres that the nodes are spread over.
     pub data_centres: usize,
-    /// Lines added to the `[tuning]` table of every node.
+    /// Lines for the `[tuning]` table in every node's settings.
     pub tuning: String,
-    /// Whether broken invariants end a node.
+    /// Whether a node exits when it detects a broken invariant.
     pub strict: bool,
-    /// Level of the nodes' log lines.
+    /// Log level of the nodes.
     pub log_level: &'static str,
 }
 
--- a/testing/src/process.rs
+++ b/testing/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the mesh and of its surroundings.
+//! Child processes: nodes, stand-ins and command-line tools of this workspace.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -7,20 +7,21 @@
 
 use eyre::{Result, WrapErr, eyre};
 
-/// Longest wait for a process to stand still, far above what that takes.
-const STOP_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for a process to stop after a `STOP` signal, far above what that takes.
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between two looks at it.
-const STOP_STEP: Duration = Duration::from_millis(1);
+/// Interval at which the state of a stopping process is read.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A process that is killed, by its own id, when it is dropped.
+/// A child process that is killed, by its process ID, when this value is dropped.
 #[derive(Debug)]
 pub struct OwnedProcess {
     child: Child,
 }
 
 impl OwnedProcess {
-    /// Starts a program with its output in a file.
+    /// Starts a program whose standard output and standard error are appended to a
+    /// file.
     pub fn start(program: &Path, arguments: &[String], output: &Path) -> Result<Self> {
         let file = std::fs::OpenOptions::new()
             .create(true)
@@ -36,31 +37,40 @@
         Ok(Self { child })
     }
 
-    /// Returns the process id.
+    /// Returns the process ID.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by its name, as `kill` takes it. After a `STOP` it returns
-    /// when the process stands still: `kill` only asks for that, and a thread that
-    /// runs at that moment goes on for a little.
+    /// Sends a signal, named as `kill -s` expects it.
+    ///
+    /// For `STOP`, waits until every thread has stopped: the signal is delivered
+    /// asynchronously, so a running thread goes on for a moment after `kill`
+    /// returns.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a process doesn't stop within 30 seconds of a `STOP`.
     pub fn send_signal(&self, name: &str) {
         let id = self.pid().to_string();
         let _ = Command::new("kill").args(["-s", name, &id]).status();
         if name == "STOP" {
-            let until = Instant::now() + STOP_LIMIT;
+            let deadline = Instant::now() + STOP_TIMEOUT;
             while !self.is_stopped() {
-                assert!(Instant::now() < until, "process {id} does not stop");
-                std::thread::sleep(STOP_STEP);
+                assert!(
+                    Instant::now() < deadline,
+                    "process {id} has not stopped after {STOP_TIMEOUT:?}"
+                );
+                std::thread::sleep(STOP_POLL_INTERVAL);
             }
         }
     }
 
-    /// Tells whether every thread of the process stands still.
+    /// Returns `true` if every thread of the process is stopped.
     fn is_stopped(&self) -> bool {
-        let tasks = format!("/proc/{}/task", self.pid());
-        let Ok(entries) = std::fs::read_dir(tasks) else {
-            // A process that is gone runs nothing either.
+        let thread_folder = format!("/proc/{}/task", self.pid());
+        let Ok(entries) = std::fs::read_dir(thread_folder) else {
+            // The process has exited, so none of its threads runs.
             return true;
         };
         entries.flatten().all(|entry| {
@@ -69,23 +79,25 @@
         })
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits and returns its exit code.
     pub async fn wait(&mut self) -> Result<i32> {
         loop {
             if let Some(status) = self.child.try_wait()? {
-                return status.code().ok_or_else(|| eyre!("ended by a signal"));
+                return status
+                    .code()
+                    .ok_or_else(|| eyre!("the process was terminated by a signal"));
             }
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     }
 
-    /// Tells whether the process still runs.
+    /// Returns `true` if the process has not exited.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
@@ -97,8 +109,9 @@
     }
 }
 
-/// Returns the path of a program of this workspace, built on first use with
-/// the profile of the caller.
+/// Returns the path of a binary of this workspace. The first call builds all of
+/// them with the profile of the running test or program, unless
+/// `WISTERIATURN_NO_BUILD` is set.
 pub fn program_path(name: &str) -> Result<PathBuf> {
     static FOLDER: OnceLock<PathBuf> = OnceLock::new();
     let folder = match FOLDER.get() {
@@ -112,11 +125,16 @@
 }
 
 fn build_programs() -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    // A test sits in a folder below its profile's, a program in it.
-    let mut folder = own.parent().ok_or_else(|| eyre!("no folder"))?;
+    let executable = std::env::current_exe()?;
+    // Cargo puts programs into the folder of their profile, and tests into `deps`
+    // below it.
+    let mut folder = executable
+        .parent()
+        .ok_or_else(|| eyre!("the running executable has no parent folder"))?;
     if folder.ends_with("deps") {
-        folder = folder.parent().ok_or_else(|| eyre!("no folder"))?;
+        folder = folder
+            .parent()
+            .ok_or_else(|| eyre!("the folder `deps` has no parent folder"))?;
     }
     if std::env::var_os("WISTERIATURN_NO_BUILD").is_some() {
         return Ok(folder.to_owned());
@@ -131,6 +149,8 @@
     if status.success() {
         Ok(folder.to_owned())
     } else {
-        Err(eyre!("the programs do not build"))
+        Err(eyre!(
+            "cargo build of the workspace's binaries failed: {status}"
+        ))
     }
 }
