--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -81,7 +81,7 @@
     let service: ServiceName = headers::parsed(map, &headers::SERVICE)?;
     let is_idempotent: bool = headers::parsed(map, &headers::IDEMPOTENT)?;
     let remaining = headers::parsed_millis(map, &headers::DEADLINE_MS)?;
-    let latency_target = headers::parsed_millis(map, &headers::LATENCY_TARGET_MS);
+    let soft_deadline = headers::parsed_millis(map, &headers::SOFT_DEADLINE_MS);
     let key = map.get(headers::IDEMPOTENCY_KEY).filter(|_| !is_idempotent);
     Some(GateCall {
         call: headers::parsed(map, &headers::CALL)?,
@@ -89,7 +89,7 @@
         priority: headers::parsed(map, &headers::PRIORITY).unwrap_or_default(),
         request_id: map.get(&node.edge.request_id).cloned(),
         route: headers::parsed(map, &headers::ROUTE),
-        aim: CallDeadline::for_call(&node.clock, remaining, latency_target),
+        aim: CallDeadline::for_call(&node.clock, remaining, soft_deadline),
         deadline: CallDeadline::for_call(&node.clock, remaining, None),
         patience: headers::parsed(map, &headers::MAX_WAIT_MS)
             .map_or(Duration::MAX, Duration::from_millis),
--- a/wisteriaturnd/src/http/body.rs
+++ b/wisteriaturnd/src/http/body.rs
@@ -1,8 +1,8 @@
-//! Bodies of requests and answers on their way through a node.
+//! Request and response bodies that pass through a node.
 //!
-//! Bodies stream: an archive of any size passes through a bounded number of
-//! bytes. Only the first bytes of a request are kept, so that a small request
-//! can be sent again; a larger one is sent at most once.
+//! Bodies are streamed, so that a body of any size needs a bounded amount of
+//! memory. Only the first bytes of a request are buffered: a small request can
+//! be retried, a larger one is sent at most once.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::time::Sleep;
 
-/// The error of a body, whatever its source.
+/// The error of any body, with the type of its source erased.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Any body.
+/// A body with the type of its source erased.
 pub type NodeBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Returns a body of known bytes.
+/// Returns a body that consists of these bytes.
 pub fn full(bytes: Bytes) -> NodeBody {
     Full::new(bytes)
         .map_err(|never| match never {})
@@ -34,7 +34,7 @@
     full(Bytes::new())
 }
 
-/// Boxes a body.
+/// Erases the type of a body.
 pub fn boxed<B>(body: B) -> NodeBody
 where
     B: Body<Data = Bytes> + Send + 'static,
@@ -43,43 +43,43 @@
     body.map_err(Into::into).boxed_unsync()
 }
 
-/// A request body: whole when it is small, else a prefix and the rest.
+/// A body of which the first bytes are buffered.
 #[derive(Debug)]
 pub enum BufferedBody {
-    /// All bytes; the request can be sent again.
+    /// The complete body. It can be sent any number of times.
     Whole(Bytes),
-    /// The first bytes and the rest; the request can be sent once.
+    /// The first bytes and a stream of the rest. They can be sent once.
     Stream {
-        /// Bytes read so far.
+        /// Bytes that have been read.
         prefix: Bytes,
-        /// What is still to be read, until it is sent.
+        /// The remaining body, or `None` once it has been sent.
         rest: Option<NodeBody>,
     },
 }
 
 impl BufferedBody {
-    /// Reads up to `limit` bytes.
+    /// Reads a body until it ends or exceeds `limit` bytes.
     ///
     /// # Errors
     ///
-    /// The error of the caller's connection.
+    /// Returns the error of the body.
     pub async fn read(mut body: NodeBody, limit: usize) -> Result<Self, BodyError> {
-        let mut read = BytesMut::new();
-        while read.len() <= limit {
+        let mut buffer = BytesMut::new();
+        while buffer.len() <= limit {
             let Some(frame) = body.frame().await else {
-                return Ok(BufferedBody::Whole(read.freeze()));
+                return Ok(BufferedBody::Whole(buffer.freeze()));
             };
             if let Ok(data) = frame?.into_data() {
-                read.extend_from_slice(&data);
+                buffer.extend_from_slice(&data);
             }
         }
         Ok(BufferedBody::Stream {
-            prefix: read.freeze(),
+            prefix: buffer.freeze(),
             rest: Some(body),
         })
     }
 
-    /// Returns the first bytes, from which a fingerprint is made.
+    /// Returns the buffered bytes, from which fingerprints are computed.
     pub fn prefix(&self) -> &Bytes {
         match self {
             BufferedBody::Whole(bytes) => bytes,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns a body for the next attempt, or nothing when it was sent.
+    /// Returns the body for the next attempt, or `None` if it can't be sent again.
     pub fn take_for_attempt(&mut self) -> Option<NodeBody> {
         match self {
             BufferedBody::Whole(bytes) => Some(full(bytes.clone())),
@@ -101,13 +101,14 @@
         }
     }
 
-    /// Tells whether another attempt can be made.
+    /// Returns `true` if the body can be sent more than once.
     pub fn is_replayable(&self) -> bool {
         matches!(self, BufferedBody::Whole(_))
     }
 }
 
-/// Bytes that were read already, then the rest of a body.
+/// A body that yields bytes that were read before, followed by the rest of the
+/// body.
 struct PrefixedBody {
     prefix: Option<Bytes>,
     rest: NodeBody,
@@ -128,36 +129,36 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let read = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
+        let prefix_bytes = self.prefix.as_ref().map_or(0, Bytes::len) as u64;
         let mut hint = self.rest.size_hint();
         if let Some(upper) = hint.upper() {
-            hint.set_upper(upper + read);
+            hint.set_upper(upper + prefix_bytes);
         }
-        hint.set_lower(hint.lower() + read);
+        hint.set_lower(hint.lower() + prefix_bytes);
         hint
     }
 }
 
-/// A body that fails when its source makes no progress for a time.
+/// A body that fails if its source makes no progress for the timeout.
 ///
-/// Only time in which the reader waits for the source counts: a slow reader is
-/// the business of its connection.
-struct StallBody {
+/// Only the time during which the reader waits for the source counts. Slow
+/// readers are limited by the write timeout of their connection.
+struct StallTimeoutBody {
     inner: NodeBody,
-    limit: Duration,
+    timeout: Duration,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-/// Returns `inner`, which fails after `limit` without progress.
-pub fn with_stall_timeout(inner: NodeBody, limit: Duration) -> NodeBody {
-    boxed(StallBody {
+/// Wraps a body so that it fails after `timeout` without progress.
+pub fn with_stall_timeout(inner: NodeBody, timeout: Duration) -> NodeBody {
+    boxed(StallTimeoutBody {
         inner,
-        limit,
+        timeout,
         timer: None,
     })
 }
 
-impl Body for StallBody {
+impl Body for StallTimeoutBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -169,12 +170,14 @@
             self.timer = None;
             return Poll::Ready(frame);
         }
-        let limit = self.limit;
+        let timeout = self.timeout;
         let timer = self
             .timer
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep(limit)));
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep(timeout)));
         ready!(timer.as_mut().poll(context));
-        Poll::Ready(Some(Err("the source of the body stalled".into())))
+        Poll::Ready(Some(Err(
+            "the body made no progress within the stall timeout".into(),
+        )))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -186,14 +189,14 @@
     }
 }
 
-/// A body that counts the bytes that pass.
+/// A body that counts the bytes that are read from it.
 pub struct CountedBody {
     inner: NodeBody,
     bytes: Arc<AtomicU64>,
 }
 
 impl CountedBody {
-    /// Returns `inner`, which adds what passes to `bytes`.
+    /// Wraps a body and adds the number of bytes read from it to `bytes`.
     pub fn new(inner: NodeBody, bytes: Arc<AtomicU64>) -> Self {
         Self { inner, bytes }
     }
@@ -231,18 +234,19 @@
     }
 }
 
-/// How a guarded body ended.
+/// How an [`OnEndBody`] ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// All bytes were passed on.
+    /// The reader received the complete body.
     Whole,
-    /// The source failed.
+    /// The source of the body failed.
     Failed,
-    /// The reader went away.
+    /// The reader dropped the body before its end.
     Dropped,
 }
 
-/// A body that tells its end once, and holds what must live until then.
+/// A body that calls a function once when it ends. The function can own
+/// resources that are needed until then.
 pub struct OnEndBody<F>
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
@@ -255,7 +259,7 @@
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
 {
-    /// Returns `inner`, which calls `on_end` when it ends or is dropped.
+    /// Wraps a body and calls `on_end` when it ends, fails or is dropped.
     pub fn new(inner: NodeBody, on_end: F) -> Self {
         Self {
             inner,
--- a/wisteriaturnd/src/http/exchange.rs
+++ b/wisteriaturnd/src/http/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange over a pooled connection.
+//! HTTP exchanges over pooled connections.
 
 use std::time::Duration;
 
@@ -9,28 +9,31 @@
 use crate::http::body::{BodyEnd, NodeBody, OnEndBody, boxed, with_stall_timeout};
 use crate::http::pool::{ConnectionPool, PooledConnection};
 
-/// How an exchange failed.
+/// The error of a failed exchange.
 #[derive(Debug)]
 pub enum ExchangeError {
-    /// No byte of the request was sent; here it is again.
+    /// No byte of the request was sent. Contains the request, so that it can be
+    /// sent over another connection.
     Unsent(Box<Request<NodeBody>>),
-    /// Some of the request may have been sent.
+    /// The request may have been sent, fully or in part.
     Lost(LinkError),
 }
 
-/// Sends a request and returns the head of the answer with the connection,
-/// which goes back to the pool once the body was read.
+/// Sends a request and returns the response, whose body is not read yet.
+///
+/// [`pooled_body`] returns the connection to its pool once the body is read.
 ///
 /// # Errors
 ///
-/// [`ExchangeError`] tells whether anything can have been sent.
+/// Returns an [`ExchangeError`], which states whether any byte may have been
+/// sent.
 pub async fn send(
-    link: &mut PooledConnection,
+    connection: &mut PooledConnection,
     request: Request<NodeBody>,
 ) -> Result<Response<Incoming>, ExchangeError> {
-    match link.sender.try_send_request(request).await {
+    match connection.sender.try_send_request(request).await {
         Ok(response) => {
-            link.apply_keep_alive(response.headers());
+            connection.apply_keep_alive(response.headers());
             Ok(response)
         }
         Err(mut error) => match error.take_message() {
@@ -42,41 +45,42 @@
     }
 }
 
-/// Returns the body of an answer, which fails after `stall` without progress,
-/// gives its connection back to the pool at its end and calls `on_end`.
+/// Returns the body of a response. It fails after `timeout` without progress,
+/// releases its connection to the pool when it is complete, and calls `on_end`
+/// when it ends.
 pub fn pooled_body<F>(
     incoming: Incoming,
-    link: PooledConnection,
+    connection: PooledConnection,
     pool: &ConnectionPool,
-    stall: Duration,
+    timeout: Duration,
     on_end: F,
 ) -> NodeBody
 where
     F: FnOnce(BodyEnd) + Send + Unpin + 'static,
 {
     let pool = pool.clone();
-    let mut link = Some(link);
+    let mut connection = Some(connection);
     boxed(OnEndBody::new(
-        with_stall_timeout(boxed(incoming), stall),
+        with_stall_timeout(boxed(incoming), timeout),
         move |end| {
-            if let (BodyEnd::Whole, Some(link)) = (end, link.take()) {
-                give_back_when_ready(pool, link);
+            if let (BodyEnd::Whole, Some(connection)) = (end, connection.take()) {
+                release_when_ready(pool, connection);
             }
             on_end(end);
         },
     ))
 }
 
-/// Waits for the connection to finish its exchange before the pool has it: the
-/// last byte of a body comes a moment before the connection is ready again.
-fn give_back_when_ready(pool: ConnectionPool, mut link: PooledConnection) {
-    if link.sender.is_ready() {
-        pool.release(link);
+/// Releases a connection to its pool once it is ready for the next exchange,
+/// which may be shortly after the last byte of the body was read.
+fn release_when_ready(pool: ConnectionPool, mut connection: PooledConnection) {
+    if connection.sender.is_ready() {
+        pool.release(connection);
         return;
     }
     tokio::spawn(async move {
-        if link.sender.ready().await.is_ok() {
-            pool.release(link);
+        if connection.sender.ready().await.is_ok() {
+            pool.release(connection);
         }
     });
 }
--- a/wisteriaturnd/src/http/headers.rs
+++ b/wisteriaturnd/src/http/headers.rs
@@ -1,26 +1,26 @@
-//! The headers that nodes add, and those that must not pass a node.
+//! HTTP headers that nodes add, and headers that nodes must not forward.
 //!
-//! Headers that travel between nodes are never believed from a caller: the
-//! ingress strips them all. Two are for callers as well: the outcome of a call
-//! and the time that a caller allows for it.
+//! The headers of the mesh are trusted only between nodes: the ingress removes
+//! them from the requests of callers. Callers use two of them as well: the
+//! outcome of a call, and the time that remains for it.
 
 use std::time::Duration;
 
 use hyper::HeaderMap;
 use hyper::header::{HeaderName, HeaderValue};
 
-/// Prefix of all headers of the mesh.
+/// Prefix of the mesh's headers.
 pub const PREFIX: &str = "wisteriaturn-";
 
-/// What became of a call; towards callers and between nodes.
+/// Outcome of a call; to callers and between nodes.
 pub const OUTCOME: HeaderName = HeaderName::from_static("wisteriaturn-outcome");
-/// Why a call has no answer of a target; towards callers and between nodes.
+/// Reason why a call has no answer from a target; to callers and between nodes.
 pub const REASON: HeaderName = HeaderName::from_static("wisteriaturn-reason");
-/// Says that an answer was kept from an earlier run of the same key.
+/// Set if the answer was stored by an earlier run with the same idempotency key.
 pub const REPLAYED: HeaderName = HeaderName::from_static("wisteriaturn-replayed");
-/// Time that is left for a call, in milliseconds; from callers and between nodes.
+/// Time that remains for a call, in milliseconds; from callers and between nodes.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("wisteriaturn-deadline-ms");
-/// Identifier of an attempt; between nodes and towards targets.
+/// Identifier of an attempt; between nodes and to targets.
 pub const CALL: HeaderName = HeaderName::from_static("wisteriaturn-call");
 /// Service of a call; between nodes.
 pub const SERVICE: HeaderName = HeaderName::from_static("wisteriaturn-service");
@@ -30,52 +30,59 @@
 pub const IDEMPOTENT: HeaderName = HeaderName::from_static("wisteriaturn-idempotent");
 /// Fingerprint of a request; between nodes.
 pub const FINGERPRINT: HeaderName = HeaderName::from_static("wisteriaturn-fingerprint");
-/// Asks about a call instead of making one; between nodes.
+/// Set if the request inquires about a call instead of making one; between
+/// nodes.
 pub const INQUIRY: HeaderName = HeaderName::from_static("wisteriaturn-ask");
-/// Calls that a gate has running or waiting; between nodes.
+/// Number of calls that are running or waiting at a gate; between nodes.
 pub const BUSY: HeaderName = HeaderName::from_static("wisteriaturn-busy");
-/// Says that an attempt must not be made again anywhere; between nodes.
+/// Set if the call must not be retried at any target; between nodes.
 pub const NO_RETRY: HeaderName = HeaderName::from_static("wisteriaturn-no-retry");
-/// Key under which a caller may send a call again.
+/// Key with which a caller can safely retry a call; from callers.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Rank of a call among those that wait; between nodes.
+/// Priority of a call within its class; between nodes.
 pub const PRIORITY: HeaderName = HeaderName::from_static("wisteriaturn-priority");
 /// Route of a call; between nodes.
 pub const ROUTE: HeaderName = HeaderName::from_static("wisteriaturn-route");
-/// Time left within which an answer is worth most, in milliseconds; between nodes.
-pub const LATENCY_TARGET_MS: HeaderName = HeaderName::from_static("wisteriaturn-aim-ms");
-/// Longest wait for a slot that is better than going elsewhere, in milliseconds;
-/// between nodes. Without it a call waits as long as it can.
+/// Time until the soft deadline of a call, in milliseconds; between nodes. A
+/// later answer is less useful to the caller.
+pub const SOFT_DEADLINE_MS: HeaderName = HeaderName::from_static("wisteriaturn-aim-ms");
+/// Longest wait for a slot that is still better than trying another target, in
+/// milliseconds; between nodes. Without it, a call waits as long as its deadline
+/// allows.
 pub const MAX_WAIT_MS: HeaderName = HeaderName::from_static("wisteriaturn-patience-ms");
-/// Mean time that a gate's target takes for calls of the route, in microseconds;
-/// between nodes.
+/// Mean run time at a gate of calls of the route, in microseconds; between
+/// nodes.
 pub const MEAN_RUN_US: HeaderName = HeaderName::from_static("wisteriaturn-mean-run-us");
-/// Time after which a gate expects room, in milliseconds; between nodes.
+/// Time after which an additional call can expect a slot at a gate, in
+/// milliseconds; between nodes.
 pub const EXPECTED_WAIT_MS: HeaderName = HeaderName::from_static("wisteriaturn-room-ms");
 
-/// The headers that callers and targets know, which differ between the places
-/// that a node runs in. What nodes tell each other has names of its own.
+/// Names of the headers that callers and targets use, and the format of
+/// `Retry-After`. They depend on the platform that a node runs on, unlike the
+/// headers between nodes.
 #[derive(Debug, Clone)]
 pub struct EdgeHeaders {
-    /// Time that is left for a call, in milliseconds.
+    /// Time that remains for a call, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The caller's name for its attempt, which targets repeat.
+    /// Identifier that the caller gave to its attempt. Targets echo it.
     pub request_id: HeaderName,
-    /// The target that is to run a call; another one refuses it.
+    /// Instance name of the target that shall run a call. Any other target
+    /// refuses the call.
     pub expected_instance: HeaderName,
-    /// The service from whose VM a call came.
+    /// Service of the VM from which a call came.
     pub caller_service: HeaderName,
-    /// Says that a target did not run a call.
+    /// Set by a target that did not run a call.
     pub not_run: HeaderName,
-    /// Stands on every success of a target, where targets sign theirs.
+    /// Set on every successful response of a target, or `None` if targets do not
+    /// stamp their responses.
     pub response_stamp: Option<HeaderName>,
-    /// Whether callers read a `Retry-After` with a fraction.
+    /// Whether callers accept a `Retry-After` with fractions of a second.
     pub has_fractional_retry_after: bool,
 }
 
 impl EdgeHeaders {
-    /// Returns the names of the product's own interface.
+    /// Returns the names used unless a platform defines its own.
     pub fn standard() -> Self {
         Self {
             deadline_ms: DEADLINE_MS,
@@ -89,10 +96,10 @@
     }
 }
 
-/// Longest idempotency key in bytes.
+/// Maximum length of an idempotency key in bytes.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// Headers of one connection (RFC 9110, 7.6.1), which must not be passed on.
+/// Hop-by-hop headers (RFC 9110, 7.6.1), which must not be forwarded.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -104,18 +111,19 @@
     "upgrade",
 ];
 
-/// Removes the headers of one connection, also those that `Connection` names.
-/// The framing headers go too: the next connection has its own.
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
+/// Also removes `Transfer-Encoding`, since the next connection has its own
+/// framing.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let mut named = Vec::new();
+    let mut listed = Vec::new();
     for value in headers.get_all(hyper::header::CONNECTION) {
         let text = value.to_str().unwrap_or_default();
-        named.extend(
+        listed.extend(
             text.split(',')
                 .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok()),
         );
     }
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     for name in HOP_BY_HOP {
@@ -124,24 +132,25 @@
     headers.remove(hyper::header::TRANSFER_ENCODING);
 }
 
-/// Removes every header of the mesh.
+/// Removes all headers of the mesh.
 pub fn strip_mesh(headers: &mut HeaderMap) {
-    let own: Vec<HeaderName> = headers
+    let names: Vec<HeaderName> = headers
         .keys()
         .filter(|name| name.as_str().starts_with(PREFIX))
         .cloned()
         .collect();
-    for name in own {
+    for name in names {
         headers.remove(name);
     }
 }
 
-/// Returns the text of a header that appears once.
+/// Returns the first value of a header as text, or `None` if it is missing or is
+/// not visible ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns a header parsed to its type.
+/// Returns the parsed value of a header, or `None` if it is missing or malformed.
 pub fn parsed<T>(headers: &HeaderMap, name: &HeaderName) -> Option<T>
 where
     T: std::str::FromStr,
@@ -149,18 +158,19 @@
     text(headers, name).and_then(|text| text.parse().ok())
 }
 
-/// Returns the time that is left for a call, by a header of that name.
+/// Returns a header that holds a number of milliseconds as a duration, or `None`
+/// if it is missing or malformed.
 pub fn parsed_millis(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
     parsed::<u64>(headers, name).map(Duration::from_millis)
 }
 
-/// Sets a header to the text of a value.
+/// Sets a header to the text form of a value.
 pub fn set<T>(headers: &mut HeaderMap, name: HeaderName, value: T)
 where
     T: ToString,
 {
-    // All values set here are numbers or names of fixed sets, so they are
-    // valid; a value that is not leaves the header out.
+    // The values are numbers, identifiers and fixed names, which are valid in a
+    // header. The header is left out if a value is not.
     if let Ok(value) = HeaderValue::from_str(&value.to_string()) {
         headers.insert(name, value);
     }
--- a/wisteriaturnd/src/http/listener.rs
+++ b/wisteriaturnd/src/http/listener.rs
@@ -1,11 +1,12 @@
-//! Accepting and serving HTTP until the node stops.
+//! Accepts connections and serves HTTP until the node stops.
 //!
-//! A stop must cut no request, also not one that its caller has just sent:
-//! connections that wait to be accepted are still taken, one that has not
-//! brought its first request yet gets a moment to do so, and while the node
-//! drains every answer asks its caller to close the connection, so that few
-//! are open when the node stops. hyper's graceful shutdown alone closes a
-//! connection of which it has not read a byte, even when the bytes are there.
+//! A stop must not cut off any request, not even one that a caller has just
+//! sent. Connections in the accept queue are therefore still accepted, and a
+//! new connection gets some time to send its first request. While the node
+//! drains, each response asks the client to close the connection, so that few
+//! connections are open when the node stops. hyper's graceful shutdown is not
+//! sufficient: it closes a connection from which it has not read a byte, even
+//! if bytes have arrived.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -28,45 +29,49 @@
 use crate::http::body::NodeBody;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Time for the head of a request, against callers that send it byte by byte.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+/// Timeout for receiving the head of a request. It limits clients that send the
+/// head byte by byte.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time for the first request of a connection that is open when the node stops.
-const FIRST_REQUEST_TIME: Duration = Duration::from_secs(1);
+/// Timeout for the first request on a connection that is open when the node
+/// stops.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before accepting again after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The bounds of one port.
+/// The limits of one port.
 #[derive(Debug, Clone, Copy)]
 pub struct PortLimits {
-    /// Connections that are open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Cause under which connections beyond that are counted.
+    /// Label under which connections above the maximum are counted as dropped.
     pub drop_cause: &'static str,
-    /// Bytes that a connection buffers for the head of a request.
+    /// Size in bytes of a connection's buffer for the head of a request.
     pub max_head_bytes: usize,
-    /// Most headers of a request.
+    /// Maximum number of headers of a request.
     pub max_headers: usize,
-    /// Whether callers connect here, for whom the configuration has limits.
+    /// Whether callers connect to this port. The limits in the configuration apply
+    /// to callers only.
     pub is_for_callers: bool,
 }
 
 impl PortLimits {
-    /// Returns the time until the head of a request must be there, which counts
-    /// from the end of the one before: a caller's connection may stay idle for
-    /// as long as the configuration allows.
+    /// Returns the timeout for the head of a request. It starts at the end of the
+    /// previous exchange, so it also limits how long a connection may stay idle,
+    /// which the configuration sets for callers.
     fn head_timeout(&self, node: &NodeHandle) -> Duration {
         if !self.is_for_callers {
-            return HEAD_TIME;
+            return HEAD_TIMEOUT;
         }
         let view = node.view.load();
         let limits = view.config.limits.as_ref();
-        limits.map_or(HEAD_TIME, LimitsSpec::idle_timeout)
+        limits.map_or(HEAD_TIMEOUT, LimitsSpec::idle_timeout)
     }
 }
 
-/// Accepts connections until the node stops, and serves each in a task.
+/// Accepts connections until the node stops, and serves each one in its own
+/// task. Drops connections above the limit of the port.
 pub async fn accept_until_stopped<F, T>(
     node: NodeHandle,
     listener: TcpListener,
@@ -77,7 +82,7 @@
     F: Fn(NodeHandle, TcpStream) -> T,
     T: Future<Output = ()> + Send + 'static,
 {
-    let connections = Arc::new(Semaphore::new(limits.max_connections));
+    let semaphore = Arc::new(Semaphore::new(limits.max_connections));
     let mut stage = node.stage.subscribe();
     loop {
         let accepted = tokio::select! {
@@ -86,17 +91,17 @@
             _ = stage.wait_for(|stage| *stage >= NodeStage::Stopping) => return,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&semaphore).try_acquire_owned() else {
             node.metrics.count_drop(limits.drop_cause);
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let served = serve(node.clone(), stream);
+        let serving = serve(node.clone(), stream);
         tracker.spawn(async move {
-            served.await;
+            serving.await;
             drop(permit);
         });
     }
@@ -109,7 +114,8 @@
     F: Fn(Request<Incoming>) -> T,
     T: Future<Output = Response<NodeBody>>,
 {
-    // A caller that stops reading would hold the slot of its call for ever.
+    // A client that stops reading would otherwise keep the slot of its call
+    // forever.
     let mut stream = TimeoutStream::new(stream);
     stream.set_write_timeout(Some(node.settings.tuning.stall_timeout));
     let mut stage = node.stage.subscribe();
@@ -118,15 +124,15 @@
     let service = service_fn(|request| {
         has_request.store(true, Ordering::Relaxed);
         first_request.notify_one();
-        let answering = handle(request);
+        let handling = handle(request);
         async {
-            let mut response = answering.await;
-            let last_stage = if limits.is_for_callers {
+            let mut response = handling.await;
+            let closing_stage = if limits.is_for_callers {
                 NodeStage::LameDuck
             } else {
                 NodeStage::Draining
             };
-            if node.current_stage() >= last_stage {
+            if node.current_stage() >= closing_stage {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
@@ -148,10 +154,10 @@
         tokio::select! {
             _ = connection.as_mut() => return,
             () = first_request.notified() => {}
-            () = tokio::time::sleep(FIRST_REQUEST_TIME) => {}
+            () = tokio::time::sleep(FIRST_REQUEST_TIMEOUT) => {}
         }
     }
-    // The answer under way is sent whole; then the connection closes.
+    // Finishes the exchange in progress, then closes the connection.
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
--- a/wisteriaturnd/src/http/mod.rs
+++ b/wisteriaturnd/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! Connections, bodies and headers, on both sides of a node.
+//! HTTP listeners, client connections, bodies and headers.
 
 pub mod body;
 pub mod exchange;
--- a/wisteriaturnd/src/http/pool.rs
+++ b/wisteriaturnd/src/http/pool.rs
@@ -1,10 +1,9 @@
-//! Connections for calls, kept open between calls.
+//! Pools of HTTP client connections.
 //!
-//! A connection goes back to the pool only after a whole exchange; one with an
-//! abandoned exchange is closed, so an answer that comes late has no
-//! connection on which it could be taken for another one. The connections of a
-//! pool come from a closure, since those to other nodes begin with a
-//! handshake and those to a target do not.
+//! A connection is returned to its pool only after a complete exchange. If an
+//! exchange is abandoned, its connection is closed, so that a late response
+//! can't be mistaken for the response to a later request. Connections to other
+//! nodes start with a handshake, connections to targets do not.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,51 +27,52 @@
 use crate::mesh::handshake::{self, PortUse};
 use crate::node::AddressMap;
 
-/// Time for a connection to open. A node in another region is 8 ms away; what
-/// takes longer than this is overloaded or cut off.
+/// Timeout for opening a connection. A node in another region is 8 ms away, so
+/// one that takes longer than this is overloaded or unreachable.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long an idle connection is kept.
+/// Maximum time for which an idle connection is kept.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How much sooner than the other side an idle connection is given up.
-const KEEP_MARGIN: Duration = Duration::from_secs(1);
+/// Time before the keep-alive timeout of the other side at which an idle
+/// connection is no longer used.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Names how long the other side keeps an idle connection.
+/// Header that states for how long the other side keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Idle connections kept to one address.
-pub const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Maximum number of idle connections to one address.
+pub const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// Largest head of an answer that a connection reads, in bytes.
-const HEAD_LIMIT: usize = 64 * 1024;
+/// Maximum size in bytes of the head of a response.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// A connection that is ready for one exchange.
+/// A connection that is ready for an exchange.
 #[derive(Debug)]
 pub struct PooledConnection {
-    /// Sends the request.
+    /// Sends requests on the connection.
     pub sender: SendRequest<NodeBody>,
-    /// Life of the node on the other side; 0 for a target.
+    /// Boot id of the node on the other side, or 0 if it is not a node.
     pub boot_id: BootId,
-    /// Whether the connection served an exchange before.
+    /// Whether the connection was used for an exchange before.
     pub is_reused: bool,
     address: SocketAddr,
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
 impl PooledConnection {
-    /// Takes note of how long the other side keeps the connection open while
-    /// it is idle (`Keep-Alive: timeout=N`).
+    /// Shortens the idle timeout to the one that the other side announces with
+    /// `Keep-Alive: timeout=N`.
     pub fn apply_keep_alive(&mut self, headers: &HeaderMap) {
-        let named = headers::text(headers, &KEEP_ALIVE).and_then(|text| {
+        let announced = headers::text(headers, &KEEP_ALIVE).and_then(|text| {
             text.split(',')
                 .find_map(|part| part.trim().strip_prefix("timeout="))
                 .and_then(|seconds| seconds.parse().ok())
         });
-        if let Some(seconds) = named {
-            // A request must arrive before the other side closes.
-            let keep = Duration::from_secs(seconds).saturating_sub(KEEP_MARGIN);
-            self.keep = keep.min(IDLE_TIMEOUT);
+        if let Some(seconds) = announced {
+            // A request must arrive before the other side closes the connection.
+            let idle_timeout = Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN);
+            self.idle_timeout = idle_timeout.min(IDLE_TIMEOUT);
         }
     }
 }
@@ -81,34 +81,35 @@
 struct IdleConnection {
     sender: SendRequest<NodeBody>,
     boot_id: BootId,
-    keep: Duration,
-    since: Instant,
+    idle_timeout: Duration,
+    idle_since: Instant,
 }
 
 impl IdleConnection {
-    fn is_fresh(&self, now: Instant) -> bool {
-        now.duration_since(self.since) < self.keep
+    fn is_usable(&self, now: Instant) -> bool {
+        now.duration_since(self.idle_since) < self.idle_timeout
     }
 }
 
-/// Connections by address; a cheap handle.
+/// A pool of connections by address. Clones are cheap and share the
+/// connections.
 #[derive(Debug, Clone)]
 pub struct ConnectionPool {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>,
     keys: Option<MeshKeys>,
     addresses: AddressMap,
-    is_probed: bool,
+    has_keepalive: bool,
     clock: SharedClock,
 }
 
 impl ConnectionPool {
-    /// Returns a pool of connections to the hop ports of nodes.
+    /// Returns a pool of connections to the gates of other nodes.
     pub fn for_nodes(keys: MeshKeys, addresses: AddressMap, clock: SharedClock) -> Self {
         Self {
             idle: Arc::default(),
             keys: Some(keys),
             addresses,
-            is_probed: false,
+            has_keepalive: false,
             clock,
         }
     }
@@ -119,28 +120,29 @@
             idle: Arc::default(),
             keys: None,
             addresses: AddressMap::identity(),
-            is_probed: false,
+            has_keepalive: false,
             clock,
         }
     }
 
-    /// Returns a pool of connections to a store that may hold an answer back
-    /// until there is something to tell.
+    /// Returns a pool of connections to a store. The store may delay a response
+    /// until it has data, so the connections use keepalive probes.
     pub fn for_store(clock: SharedClock) -> Self {
         Self {
-            is_probed: true,
+            has_keepalive: true,
             ..Self::for_targets(clock)
         }
     }
 
-    /// Returns an idle connection or opens one.
+    /// Returns an idle connection, or opens one if there is none.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when none can be opened; nothing of a call was sent.
+    /// Returns a [`LinkError`] if no connection can be opened. Nothing of a call
+    /// was sent in that case.
     pub async fn acquire(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
-        if let Some(link) = self.take_idle(address) {
-            return Ok(link);
+        if let Some(connection) = self.take_idle(address) {
+            return Ok(connection);
         }
         self.open(address).await
     }
@@ -149,18 +151,18 @@
     ///
     /// # Errors
     ///
-    /// As [`Self::acquire`].
+    /// Returns the same errors as [`Self::acquire`].
     pub async fn open(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
-        timeout(CONNECT_TIMEOUT, self.open_now(address)).await?
+        timeout(CONNECT_TIMEOUT, self.open_untimed(address)).await?
     }
 
-    async fn open_now(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
+    async fn open_untimed(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
         let mut stream = TcpStream::connect(self.addresses.map(address))
             .await
             .map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
         tcp_timeout::set_user_timeout(&stream).map_err(unreachable)?;
-        if self.is_probed {
+        if self.has_keepalive {
             tcp_timeout::enable_keepalive(&stream).map_err(unreachable)?;
         }
         let boot_id = match &self.keys {
@@ -168,11 +170,11 @@
             None => BootId(0),
         };
         let (sender, connection) = Builder::new()
-            .max_buf_size(HEAD_LIMIT)
+            .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|error| LinkError::Unreachable(error.to_string()))?;
-        // The task ends with the connection; its error reaches the exchange.
+        // The task ends when the connection closes. The exchange gets its error.
         tokio::spawn(async move {
             let _ = connection.await;
         });
@@ -181,22 +183,22 @@
             boot_id,
             is_reused: false,
             address,
-            keep: IDLE_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
         })
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<PooledConnection> {
         let now = self.clock.now();
         let mut idle = lock(&self.idle);
-        let links = idle.get_mut(&address)?;
-        while let Some(link) = links.pop() {
-            if link.is_fresh(now) && link.sender.is_ready() {
+        let connections = idle.get_mut(&address)?;
+        while let Some(connection) = connections.pop() {
+            if connection.is_usable(now) && connection.sender.is_ready() {
                 return Some(PooledConnection {
-                    sender: link.sender,
-                    boot_id: link.boot_id,
+                    sender: connection.sender,
+                    boot_id: connection.boot_id,
                     is_reused: true,
                     address,
-                    keep: link.keep,
+                    idle_timeout: connection.idle_timeout,
                 });
             }
         }
@@ -204,19 +206,19 @@
         None
     }
 
-    /// Gives a connection back after a whole exchange.
-    pub fn release(&self, link: PooledConnection) {
-        if link.sender.is_closed() {
+    /// Returns a connection to the pool after a complete exchange.
+    pub fn release(&self, connection: PooledConnection) {
+        if connection.sender.is_closed() {
             return;
         }
         let mut idle = lock(&self.idle);
-        let links = idle.entry(link.address).or_default();
-        if links.len() < MAX_IDLE_CONNECTIONS {
-            links.push(IdleConnection {
-                sender: link.sender,
-                boot_id: link.boot_id,
-                keep: link.keep,
-                since: self.clock.now(),
+        let connections = idle.entry(connection.address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(IdleConnection {
+                sender: connection.sender,
+                boot_id: connection.boot_id,
+                idle_timeout: connection.idle_timeout,
+                idle_since: self.clock.now(),
             });
         }
     }
@@ -226,12 +228,12 @@
         lock(&self.idle).remove(&address);
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         let now = self.clock.now();
-        lock(&self.idle).retain(|_, links| {
-            links.retain(|link| link.is_fresh(now) && !link.sender.is_closed());
-            !links.is_empty()
+        lock(&self.idle).retain(|_, connections| {
+            connections.retain(|idle| idle.is_usable(now) && !idle.sender.is_closed());
+            !connections.is_empty()
         });
     }
 }
--- a/wisteriaturnd/src/http/tcp_timeout.rs
+++ b/wisteriaturnd/src/http/tcp_timeout.rs
@@ -1,42 +1,42 @@
-//! Noticing that a connection has gone silent.
+//! Kernel timeouts that detect dead TCP connections.
 //!
-//! A cut link or a lost VM closes nothing: what was sent just stays without an
-//! acknowledgement, and a read waits for ever. The kernel notices on request.
+//! If the network or the VM of the other side fails, the connection is not
+//! closed: data that was sent stays unacknowledged, and a read waits forever.
+//! These socket options make the kernel report such a connection as failed.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Time for which sent bytes may stay without acknowledgement: several round
+/// Time for which sent data may stay unacknowledged: enough for several round
 /// trips between regions and two retransmissions.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(1_500);
+const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time without traffic after which a connection that waits is probed, and the
-/// time between two probes.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// Idle time before the first keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which a connection counts as lost.
-const PROBE_LIMIT: u32 = 2;
+/// Number of unanswered probes after which a connection fails.
+const MAX_KEEPALIVE_PROBES: u32 = 2;
 
-/// Makes a connection fail when what it sent is not acknowledged in time.
+/// Makes a connection fail if sent data is not acknowledged in time.
 ///
 /// # Errors
 ///
-/// The error of the socket.
+/// Returns the error of the socket.
 pub fn set_user_timeout(stream: &TcpStream) -> std::io::Result<()> {
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME))
+    SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-/// Probes a connection on which an answer may be long in coming.
+/// Enables keepalive probes, for a connection on which a response may take long.
 ///
 /// # Errors
 ///
-/// The error of the socket.
+/// Returns the error of the socket.
 pub fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_TIME)
-        .with_interval(PROBE_TIME)
-        .with_retries(PROBE_LIMIT);
-    SockRef::from(stream).set_tcp_keepalive(&probes)
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(MAX_KEEPALIVE_PROBES);
+    SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -103,7 +103,7 @@
     headers::set(headers, headers::PRIORITY, call.priority);
     headers::set(
         headers,
-        headers::LATENCY_TARGET_MS,
+        headers::SOFT_DEADLINE_MS,
         call.aim.remaining(now).as_millis(),
     );
     if let Some(route) = &call.route {
