--- a/wisteriaturnd/src/control/documents.rs
+++ b/wisteriaturnd/src/control/documents.rs
@@ -1,12 +1,16 @@
-//! Following a source of whole configurations.
+//! Follows a source of whole configuration documents.
 //!
-//! One member of each data centre waits at the source for a cell of others; a
-//! sign of life tells them that it had an answer just now, and which version is
-//! in force. They pull what changed from it. A node that misses the signs, since
-//! its reader is gone or is turned away, reads for itself at once, and a node
-//! that the source turns away learns versions from its peers' probes. Versions
-//! only rise, so it does not matter which way was faster, and a source that
-//! answers with an old document, or with the history cut off, moves nothing back.
+//! In each data centre one or a few members, the readers, poll the source, each on
+//! behalf of a group of others. A reader sends its group heartbeats, which say
+//! that the source has just answered and which version is in force, and the
+//! group pulls changes from the reader. A node that misses these heartbeats,
+//! because its reader is gone or cannot reach the source, immediately reads the
+//! source itself. A node that cannot reach the source either learns of new
+//! versions from the probes of its peers.
+//!
+//! Versions only increase, so it does not matter which way delivers one first. A
+//! source that answers with an old document or with a trimmed history reverts
+//! nothing.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -27,116 +31,128 @@
 use crate::metrics::TrafficKind;
 use crate::node::NodeHandle;
 
-/// How long the source holds a read open when there is no document. Each answer
-/// proves that the source is there, and a reader's signs of life need that proof.
-const POLL_TIME: Duration = Duration::from_secs(1);
+/// Time for which the source keeps a read open while there is no new document.
+/// Every answer shows that the source is reachable, which is a condition for the
+/// reader's heartbeats.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Age of the last answer up to which a reader gives signs of life: a read and
-/// a slow answer.
-const PROOF_TIME: Duration = Duration::from_millis(1_300);
+/// Age of the source's last answer up to which a reader sends heartbeats: a poll
+/// plus a slow answer.
+const MAX_ANSWER_AGE: Duration = Duration::from_millis(1_300);
 
-/// How often a node that does not read looks whether it has to.
-const ROLE_CHECK: Duration = Duration::from_millis(200);
+/// Interval at which a node that does not read the source checks whether it has
+/// to.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pauses after a failed read grow between these bounds, with jitter.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
+/// Minimum and maximum pause after a failed read, before jitter; each failure
+/// doubles it.
+const READ_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
-/// Pause after a document, in which more may come: versions in quick succession
-/// are then read together. A quarter of the time in which the fastest users want
-/// a change in force.
-const GATHER_TIME: Duration = Duration::from_millis(500);
+/// Pause after a document, so that versions in quick succession are read
+/// together. It is a quarter of the time in which the most demanding users want a
+/// change to be in force.
+const BATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// Where a node stands in its source.
+/// The state of the task that reads the source.
 #[derive(Debug)]
 struct SourceReader {
+    /// Offset of the next read, or `None` to read the newest document.
     position: Option<Offset>,
     backoff: Duration,
-    is_lost: bool,
+    /// Whether reads currently fail; only the first failure is logged.
+    is_source_lost: bool,
 }
 
-/// Follows the source for as long as the node runs.
+/// Reads the source whenever this node has to. Never returns.
 pub async fn follow_task(node: NodeHandle, port: DocumentPort) {
     let mut reader = SourceReader {
         position: None,
-        backoff: BACKOFF.0,
-        is_lost: false,
+        backoff: READ_BACKOFF.0,
+        is_source_lost: false,
     };
     node.source.is_reading.store(true, Ordering::Release);
     loop {
-        if !reader.has_to_read(&node) {
-            tokio::time::sleep(ROLE_CHECK).await;
+        if !reader.update_role(&node) {
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
         let read = match reader.position {
             None => port.newest().await,
-            Some(from) => port.follow(from, POLL_TIME).await,
+            Some(from) => port.follow(from, POLL_TIMEOUT).await,
         };
         match read {
             Ok(batch) => {
-                let is_news = batch.newest.is_some();
-                reader.take(&node, batch);
+                let has_document = batch.newest.is_some();
+                reader.handle_batch(&node, batch);
                 *lock(&node.source.answered_at) = Some(node.clock.now());
-                if is_news {
-                    give_sign(&node).await;
-                    tokio::time::sleep(jittered(GATHER_TIME)).await;
+                if has_document {
+                    send_heartbeats(&node).await;
+                    tokio::time::sleep(jittered(BATCH_DELAY)).await;
                 }
             }
-            Err(error) => reader.pause(&error).await,
+            Err(error) => reader.handle_error(&error).await,
         }
     }
 }
 
 impl SourceReader {
-    /// Tells whether this node reads for others, or has nobody to read for it.
-    fn has_to_read(&mut self, node: &NodeHandle) -> bool {
-        // A reader may be heard and not be reached: its link loses what is long,
-        // or lets only datagrams through.
+    /// Returns `true` if this node must read the source, because it is a reader or
+    /// because no reader serves it. Resumes from the last known position if this
+    /// has changed.
+    fn update_role(&mut self, node: &NodeHandle) -> bool {
+        // The heartbeats of a reader may arrive although pulls from it fail,
+        // because its link drops long messages or passes only datagrams. The
+        // version is then overdue.
         let is_reading = !node.was_ready.load(Ordering::Acquire)
             || is_reader(node)
             || !hears_reader(node)
             || node.is_version_overdue();
         if node.source.is_reading.swap(is_reading, Ordering::AcqRel) != is_reading {
             log::info!(event = "source-reading", chosen = is_reading; "place");
-            // What the reader told of its position saves reading all anew.
+            // Starting at the position in the reader's heartbeats saves reading
+            // the whole document again.
             self.position = known_position(node);
         }
         is_reading
     }
 
-    fn take(&mut self, node: &NodeHandle, batch: DocumentBatch) {
-        if self.is_lost {
+    fn handle_batch(&mut self, node: &NodeHandle, batch: DocumentBatch) {
+        if self.is_source_lost {
             log::info!(event = "source-regained", position:% = batch.next; "config");
-            self.is_lost = false;
+            self.is_source_lost = false;
         }
-        self.backoff = BACKOFF.0;
-        // A source that is behind may answer with an end before the own position.
+        self.backoff = READ_BACKOFF.0;
+        // An outdated replica of the source may answer with an end before the
+        // position that was already reached.
         self.position = self.position.max(Some(batch.next));
         if let Some(document) = batch.newest {
             let version = document.version;
-            adopt(node, document);
+            adopt_if_newer(node, document);
             node.source.newest_version.send_replace(Some(version));
         }
         let version = lock(&node.store).version();
         *lock(&node.source.read_position) = self.position.map(|position| (version, position));
     }
 
-    async fn pause(&mut self, error: &LogError) {
+    /// Restarts from the newest document if the history was trimmed, or else waits
+    /// before the next read.
+    async fn handle_error(&mut self, error: &LogError) {
         if let LogError::Trimmed { first } = error {
             log::info!(event = "source-trimmed", first:% = first; "config");
             self.position = None;
             return;
         }
-        if !self.is_lost {
+        if !self.is_source_lost {
             log::warn!(event = "source-lost", error:% = error; "config");
-            self.is_lost = true;
+            self.is_source_lost = true;
         }
         tokio::time::sleep(jittered(self.backoff)).await;
-        self.backoff = (self.backoff * 2).min(BACKOFF.1);
+        self.backoff = (self.backoff * 2).min(READ_BACKOFF.1);
     }
 }
 
-/// Puts a document in force if it is newer than what is.
-fn adopt(node: &NodeHandle, document: ConfigDocument) {
+/// Puts a document in force if it is newer than the current configuration.
+fn adopt_if_newer(node: &NodeHandle, document: ConfigDocument) {
     let version = document.version;
     let held = lock(&node.store).version();
     if version <= held {
@@ -167,11 +183,13 @@
     }
 }
 
-/// Returns where to go on reading, if all that was written before is held.
+/// Returns the offset at which to continue reading, or `None` if this node does
+/// not hold the version in force at that offset.
 fn known_position(node: &NodeHandle) -> Option<Offset> {
     let held = lock(&node.store).version();
-    let mark = *lock(&node.source.read_position);
-    mark.filter(|(version, _)| held >= *version)
+    let read_position = *lock(&node.source.read_position);
+    read_position
+        .filter(|(version, _)| held >= *version)
         .map(|(_, position)| position)
 }
 
@@ -180,28 +198,31 @@
     readers(&table, &node.settings.data_centre).contains(&node.address())
 }
 
+/// Returns `true` if a reader has sent a heartbeat within [`READER_TIMEOUT`].
 fn hears_reader(node: &NodeHandle) -> bool {
     let now = node.clock.now();
-    let heard = *lock(&node.source.reader_heard_at);
-    heard.is_some_and(|heard| now.saturating_duration_since(heard) < READER_TIMEOUT)
+    let heard_at = *lock(&node.source.reader_heard_at);
+    heard_at.is_some_and(|heard_at| now.saturating_duration_since(heard_at) < READER_TIMEOUT)
 }
 
-/// Gives signs of life to the members that this node reads for.
+/// Sends heartbeats to the members that this node reads for. Never returns.
 pub async fn heartbeat_task(node: NodeHandle) {
     loop {
         tokio::time::sleep(READER_HEARTBEAT_INTERVAL).await;
-        give_sign(&node).await;
+        send_heartbeats(&node).await;
     }
 }
 
-async fn give_sign(node: &NodeHandle) {
+/// Sends one heartbeat to each member that this node reads for, if the source has
+/// answered recently.
+async fn send_heartbeats(node: &NodeHandle) {
     let now = node.clock.now();
-    let is_proved = lock(&node.source.answered_at)
-        .is_some_and(|when| now.saturating_duration_since(when) < PROOF_TIME);
-    if !is_proved || !is_reader(node) {
+    let has_recent_answer = lock(&node.source.answered_at)
+        .is_some_and(|answered_at| now.saturating_duration_since(answered_at) < MAX_ANSWER_AGE);
+    if !has_recent_answer || !is_reader(node) {
         return;
     }
-    let cell = {
+    let members = {
         let table = lock(&node.table);
         members_read_by(&table, &node.settings.data_centre, node.address())
     };
@@ -209,14 +230,14 @@
     let Some(position) = known_position(node) else {
         return;
     };
-    for member in cell {
-        let sign = Datagram::ReaderHeartbeat { version, position };
-        gossip::send(node, member, &sign, TrafficKind::Push).await;
+    for member in members {
+        let heartbeat = Datagram::ReaderHeartbeat { version, position };
+        gossip::send(node, member, &heartbeat, TrafficKind::Push).await;
     }
 }
 
-/// Takes a sign of life of the member that reads for this node, and pulls what
-/// it has newer.
+/// Handles a heartbeat of the reader of this node, and pulls the reader's version
+/// if it is newer.
 pub fn handle_heartbeat(
     node: &NodeHandle,
     from: SocketAddr,
@@ -225,9 +246,9 @@
 ) {
     *lock(&node.source.reader_heard_at) = Some(node.clock.now());
     {
-        let mut mark = lock(&node.source.read_position);
-        if mark.is_none_or(|(held, at)| (held, at) <= (version, position)) {
-            *mark = Some((version, position));
+        let mut read_position = lock(&node.source.read_position);
+        if read_position.is_none_or(|(known, offset)| (known, offset) <= (version, position)) {
+            *read_position = Some((version, position));
         }
     }
     if version > lock(&node.store).version() {
@@ -236,15 +257,17 @@
     }
 }
 
-/// Waits until the source was read or some time has passed.
-pub async fn wait_for_source(node: &NodeHandle, wait: Duration) {
+/// Waits until this node has read a document from the source, at most for
+/// `timeout`.
+pub async fn wait_for_source(node: &NodeHandle, timeout: Duration) {
     let mut version = node.source.newest_version.subscribe();
-    // The sender lives in the node, so only the time can end this early.
-    let _ = tokio::time::timeout(wait, version.wait_for(Option::is_some)).await;
+    // The node owns the sender, so only the timeout can end the wait early.
+    let _ = tokio::time::timeout(timeout, version.wait_for(Option::is_some)).await;
 }
 
-/// Returns whether the source was read and at least `floor` is in force.
-pub fn is_current(node: &NodeHandle, floor: ConfigVersion) -> bool {
-    let has_read = node.source.newest_version.borrow().is_some();
-    has_read && lock(&node.store).version() >= floor
+/// Returns `true` if this node has read a document from the source and holds at
+/// least `min_version`.
+pub fn is_current(node: &NodeHandle, min_version: ConfigVersion) -> bool {
+    let has_document = node.source.newest_version.borrow().is_some();
+    has_document && lock(&node.store).version() >= min_version
 }
--- a/wisteriaturnd/src/control/follow.rs
+++ b/wisteriaturnd/src/control/follow.rs
@@ -1,5 +1,5 @@
-//! Reading the configuration from the log: what a relay does all the time and
-//! what a writer or a starting node does once.
+//! Reads the configuration from the log: continuously on a relay, and once on a
+//! node that writes a change or that starts.
 
 use std::time::{Duration, Instant};
 
@@ -14,63 +14,67 @@
 use crate::mesh::gossip;
 use crate::node::{NodeHandle, NodeState};
 
-/// Name of the stream of configuration changes.
+/// Name of the log stream that holds the configuration changes.
 pub const CONFIG_STREAM: &str = "config";
 
-/// Name of the stream of snapshots.
+/// Name of the log stream that holds the snapshots.
 pub const SNAPSHOT_STREAM: &str = "snapshots";
 
-/// Records in one read.
-const READ_LIMIT: usize = 256;
+/// Maximum number of records in one read.
+const MAX_READ_RECORDS: usize = 256;
 
-/// How long the log holds a read open when there is no record.
-const POLL_TIME: Duration = Duration::from_secs(10);
+/// Time for which the log keeps a read open while there is no new record.
+const POLL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pauses after a failed read grow between these bounds.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// Minimum and maximum pause after a failed read; each failure doubles it.
+const READ_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
-/// How often a node that is no relay looks whether it has become one.
-const ROLE_CHECK: Duration = Duration::from_millis(200);
+/// Interval at which a node that is not a relay checks whether it has become one.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after which a snapshot is written anew, so that one is always within
-/// the log's retention.
-const SNAPSHOT_AGE: Duration = Duration::from_secs(6 * 3600);
+/// Age at which the last snapshot is replaced, so that the log's retention always
+/// covers one.
+const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(6 * 3600);
 
-/// Reads the log for as long as this node is a relay.
+/// Reads the log whenever this node is a relay. Never returns.
 pub async fn follow_task(node: NodeHandle) {
-    let mut backoff = BACKOFF.0;
-    let mut snapshot = SnapshotMark::default();
+    let mut backoff = READ_BACKOFF.0;
+    let mut last_snapshot = LastSnapshot::default();
     loop {
         if !node.is_relay() {
-            tokio::time::sleep(ROLE_CHECK).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
-        match read_once(&node, POLL_TIME).await {
+        match read_once(&node, POLL_TIMEOUT).await {
             Ok(_) => {
-                backoff = BACKOFF.0;
-                write_snapshot_when_due(&node, &mut snapshot).await;
+                backoff = READ_BACKOFF.0;
+                write_snapshot_when_due(&node, &mut last_snapshot).await;
             }
             Err(error) => {
                 log::warn!(event = "log-read-failed", error:% = error; "config");
                 tokio::time::sleep(backoff).await;
-                backoff = (backoff * 2).min(BACKOFF.1);
+                backoff = (backoff * 2).min(READ_BACKOFF.1);
             }
         }
     }
 }
 
-/// Reads the records after the own version, folds and pushes them. Returns
-/// the version that the log's end leads to.
+/// Reads the records after the version that this node holds, folds them and
+/// pushes them to other nodes. Returns the version at the end of the log.
+///
+/// If the log has trimmed these records, loads the newest snapshot instead and
+/// returns the version of this node after that.
 ///
 /// # Errors
 ///
-/// [`LogError`] when the log does not answer.
+/// Returns a [`LogError`] if the log cannot be read, or if the records are
+/// trimmed and no snapshot covers them.
 pub async fn read_once(node: &NodeHandle, wait: Duration) -> Result<ConfigVersion, LogError> {
     let version = lock(&node.store).version();
     let request = ReadRequest {
         stream: CONFIG_STREAM.to_owned(),
         from: Offset(version.0),
-        limit: READ_LIMIT,
+        limit: MAX_READ_RECORDS,
         wait,
     };
     let batch = match node.log.read(request).await {
@@ -93,11 +97,12 @@
     Ok(ConfigVersion(batch.next.0))
 }
 
-/// Reads until this node holds all that the log has.
+/// Reads until this node holds every record of the log. Returns the version that
+/// the log has reached.
 ///
 /// # Errors
 ///
-/// [`LogError`] when the log does not answer.
+/// Returns the errors of [`read_once`].
 pub async fn read_to_end(node: &NodeHandle) -> Result<ConfigVersion, LogError> {
     if lock(&node.store).version() == ConfigVersion(0) {
         load_snapshot(node).await?;
@@ -110,9 +115,9 @@
     }
 }
 
-/// Takes the newest snapshot of the log when it is newer than what is held.
+/// Adopts the newest snapshot in the log if it is newer than the current state.
 async fn load_snapshot(node: &NodeState) -> Result<(), LogError> {
-    let mut reader = SnapshotAssembler::new();
+    let mut assembler = SnapshotAssembler::new();
     let mut from = Offset(0);
     loop {
         let request = ReadRequest {
@@ -124,7 +129,7 @@
         match node.log.read(request).await {
             Ok(batch) => {
                 for record in &batch.records {
-                    reader.add_record(&record.data);
+                    assembler.add_record(&record.data);
                 }
                 from.0 += batch.records.len() as u64;
                 if from >= batch.next {
@@ -135,7 +140,7 @@
             Err(error) => return Err(error),
         }
     }
-    let Some(state) = reader.into_newest() else {
+    let Some(state) = assembler.into_newest() else {
         return Ok(());
     };
     let version = state.version();
@@ -146,32 +151,35 @@
     Ok(())
 }
 
-/// The snapshot that this node wrote last.
+/// The version of the last snapshot that this node wrote, and when it wrote it.
 #[derive(Debug, Default)]
-struct SnapshotMark {
+struct LastSnapshot {
     written: Option<(ConfigVersion, Instant)>,
 }
 
-async fn write_snapshot_when_due(node: &NodeHandle, mark: &mut SnapshotMark) {
+/// Writes a snapshot if this node is the snapshot writer and enough versions or
+/// enough time have passed since its last one.
+async fn write_snapshot_when_due(node: &NodeHandle, last_snapshot: &mut LastSnapshot) {
     let writer = snapshot_writer(&lock(&node.table));
     if writer != Some(node.address()) {
         return;
     }
     let now = node.clock.now();
     let version = lock(&node.store).version();
-    let every = node.settings.tuning.snapshot_every;
-    let is_due = match mark.written {
-        Some((held, when)) => {
-            version.0 >= held.0 + every || now.duration_since(when) >= SNAPSHOT_AGE
+    let snapshot_every = node.settings.tuning.snapshot_every;
+    let is_due = match last_snapshot.written {
+        Some((written_version, written_at)) => {
+            version.0 >= written_version.0 + snapshot_every
+                || now.duration_since(written_at) >= MAX_SNAPSHOT_AGE
         }
-        None => version.0 >= every,
+        None => version.0 >= snapshot_every,
     };
     if !is_due {
         return;
     }
     match write_snapshot(node).await {
         Ok(()) => {
-            mark.written = Some((version, now));
+            last_snapshot.written = Some((version, now));
             log::info!(event = "snapshot-written", version:% = version; "config");
         }
         Err(error) => log::warn!(event = "snapshot-failed", error:% = error; "config"),
--- a/wisteriaturnd/src/control/mod.rs
+++ b/wisteriaturnd/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! How a node comes by its configuration and keeps it current.
+//! How a node obtains its configuration and keeps it current.
 //!
-//! Either changes are folded from the log, or whole documents are followed at
-//! their source. See [docs/DESIGN.md](../../../docs/DESIGN.md#2-configuration).
+//! A node either folds changes from the log or reads whole documents from their
+//! source. See [docs/DESIGN.md](../../../docs/DESIGN.md#2-configuration).
 
 pub mod documents;
 pub mod follow;
--- a/wisteriaturnd/src/control/source.rs
+++ b/wisteriaturnd/src/control/source.rs
@@ -1,4 +1,5 @@
-//! What a node knows of the source of documents and of those who read it.
+//! The progress of a node in reading the document source, directly or through
+//! another member.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
@@ -9,31 +10,35 @@
 use wisteriaturn::ids::{ConfigVersion, Offset};
 use wisteriaturn::member::pull::PullLease;
 
-/// Time after which a version that peers hold is overdue: a pause between two
-/// reads and a read.
-const OVERDUE_TIME: Duration = Duration::from_millis(900);
+/// Time after which a version that peers hold is overdue: the pause between two
+/// reads plus a read.
+const OVERDUE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Where a node stands in its source; each part has a lock of its own.
+/// The state of reading the document source. Each field has its own lock.
 #[derive(Debug)]
 pub struct SourceState {
-    /// Newest version that the source named, once it was read.
+    /// Newest version that this node has read from the source, or `None` before
+    /// the first read.
     pub newest_version: watch::Sender<Option<ConfigVersion>>,
-    /// Whether this node reads the source at the moment.
+    /// Whether this node currently reads the source itself.
     pub is_reading: AtomicBool,
     /// When the source last answered this node.
     pub answered_at: Mutex<Option<Instant>>,
-    /// When the member that reads the source for this node last said so.
+    /// When the last heartbeat of a reader, a member that reads the source for
+    /// this node, arrived.
     pub reader_heard_at: Mutex<Option<Instant>>,
-    /// How far the source was read, by this node or its reader: the version that
-    /// was in force then, and where reading goes on.
+    /// How far this node or its reader has read the source: the version in force
+    /// at that point and the offset of the next read.
     pub read_position: Mutex<Option<(ConfigVersion, Offset)>>,
-    /// The pull of the configuration that is under way.
+    /// Keeps this node from pulling the configuration several times at once.
     pub pull_lease: Mutex<PullLease>,
-    awaited: Mutex<Option<(ConfigVersion, Instant)>>,
+    /// A version that a peer holds and this node lacks, and when this node heard
+    /// of it.
+    missing: Mutex<Option<(ConfigVersion, Instant)>>,
 }
 
 impl SourceState {
-    /// Returns the standing of a node that has read nothing.
+    /// Returns the state of a node that has read nothing.
     pub fn new() -> Self {
         Self {
             newest_version: watch::Sender::new(None),
@@ -42,28 +47,30 @@
             reader_heard_at: Mutex::default(),
             read_position: Mutex::default(),
             pull_lease: Mutex::default(),
-            awaited: Mutex::default(),
+            missing: Mutex::default(),
         }
     }
 
-    /// Notes that a peer holds a version, of a node that holds `held`.
+    /// Records that a peer holds `version` while this node holds `held`. An
+    /// earlier record stays until this node holds the recorded version, so that
+    /// further versions do not restart its timeout.
     pub fn record_missing_version(
         &self,
         version: ConfigVersion,
         held: ConfigVersion,
         now: Instant,
     ) {
-        let mut awaited = lock(&self.awaited);
-        if awaited.is_none_or(|(first, _)| first <= held) {
-            *awaited = Some((version, now));
+        let mut missing = lock(&self.missing);
+        if missing.is_none_or(|(first, _)| first <= held) {
+            *missing = Some((version, now));
         }
     }
 
-    /// Tells whether this node, which holds `held`, has heard of a version for
-    /// longer than getting it takes.
+    /// Returns `true` if this node, which holds `held`, has lacked a version that
+    /// peers hold for at least [`OVERDUE_TIMEOUT`].
     pub fn is_overdue(&self, held: ConfigVersion, now: Instant) -> bool {
-        lock(&self.awaited).is_some_and(|(first, since)| {
-            first > held && now.saturating_duration_since(since) >= OVERDUE_TIME
+        lock(&self.missing).is_some_and(|(first, since)| {
+            first > held && now.saturating_duration_since(since) >= OVERDUE_TIMEOUT
         })
     }
 }
--- a/wisteriaturnd/src/control/start.rs
+++ b/wisteriaturnd/src/control/start.rs
@@ -1,9 +1,10 @@
-//! Starting: a node serves only once its view is current.
+//! Starts a node: it serves only once its view is current.
 //!
-//! A VM has no disk, so a node starts with nothing. It is not ready until its
-//! view is at least as new as what the log or two ready peers say, and as what
-//! its peers last saw its own address hold: a node that came back with an
-//! older view would break the promise that no proxy ever moves back.
+//! A VM has no disk, so a node starts without any state. It becomes ready when
+//! its view is at least as new as that of the log or of two ready peers, and at
+//! least as new as the one that its peers last saw at its address. A restarted
+//! node with an older view would break the guarantee that no node ever goes back
+//! to an older version.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -24,43 +25,50 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Ready peers that together are as good as the log.
-const PEERS_NEEDED: usize = 2;
+/// Number of ready peers whose versions suffice in place of the log.
+const MIN_READY_PEERS: usize = 2;
 
-/// Peers asked in one round.
-const PEERS_ASKED: usize = 4;
+/// Maximum number of peers, in addition to the seeds, to ask in one round.
+const MAX_PEERS_PER_ROUND: usize = 4;
 
-/// Rounds in which a node that is no relay leaves the log to others.
+/// Rounds in which a node that is neither a seed nor a relay does not read the
+/// log, since the seeds and relays may serve it the configuration.
 const ROUNDS_BEFORE_LOG: u32 = 3;
 
-/// Pauses between rounds grow between these bounds, with jitter.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3));
+/// Minimum and maximum pause between two rounds, before jitter; each round
+/// doubles it.
+const ROUND_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3));
 
-/// What the peers said in one round.
+/// The combined answers of the peers in one round.
 #[derive(Debug, Default)]
 struct JoinReport {
+    /// Number of peers that are ready.
     ready_peers: usize,
-    newest: ConfigVersion,
+    /// Newest version that a peer holds.
+    newest_version: ConfigVersion,
+    /// The peer that holds `newest_version`.
     newest_peer: Option<NodeAddress>,
-    floor: ConfigVersion,
-    incarnation: Incarnation,
+    /// Newest version that a peer has seen a node with this address hold.
+    min_version: ConfigVersion,
+    /// Highest incarnation that a peer has seen of a node with this address.
+    seen_incarnation: Incarnation,
 }
 
-/// Joins the mesh, gets a current view and makes the node ready.
+/// Joins the mesh, obtains a current view and makes the node ready.
 pub async fn start_task(node: NodeHandle) {
-    let mut backoff = BACKOFF.0;
-    let mut floor = ConfigVersion(0);
+    let mut backoff = ROUND_BACKOFF.0;
+    let mut min_version = ConfigVersion(0);
     for round in 0.. {
-        find_in_directory(&node).await;
+        discover_from_directory(&node).await;
         let report = ask_peers(&node).await;
-        raise_incarnation(&node, report.incarnation);
-        floor = floor.max(report.floor);
+        raise_incarnation(&node, report.seen_incarnation);
+        min_version = min_version.max(report.min_version);
         if let Some(peer) = report.newest_peer
-            && report.newest > lock(&node.store).version()
+            && report.newest_version > lock(&node.store).version()
         {
             let _ = peer_client::pull(&node, peer).await;
         }
-        if is_current(&node, &report, floor, round).await {
+        if is_current(&node, &report, min_version, round).await {
             break;
         }
         let jitter = rand::rng().random_range(0.5..1.5);
@@ -70,7 +78,7 @@
         } else {
             tokio::time::sleep(pause).await;
         }
-        backoff = (backoff * 2).min(BACKOFF.1);
+        backoff = (backoff * 2).min(ROUND_BACKOFF.1);
     }
     node.was_ready.store(true, Ordering::Release);
     node.stage.send_if_modified(|stage| {
@@ -91,8 +99,8 @@
     news::spread_own(&node, record).await;
 }
 
-/// Looks for others in the directory while this node knows nobody.
-async fn find_in_directory(node: &NodeHandle) {
+/// Reads the directory if this node does not know any other member.
+async fn discover_from_directory(node: &NodeHandle) {
     let Some(port) = &node.directory else {
         return;
     };
@@ -104,11 +112,14 @@
     }
 }
 
+/// Asks seeds until another member is known, then members until enough of the
+/// asked peers are ready.
 async fn ask_peers(node: &NodeHandle) -> JoinReport {
     let mut report = JoinReport::default();
     let mut asked = BTreeSet::from([node.address()]);
-    // A seed's answer names the other members. The rest of the load of a herd
-    // goes to those, the own data centre first, and not to the few seeds.
+    // A seed's answer names the other members. When many nodes restart at once,
+    // the remaining requests go to these members, nearest first, and not to the
+    // few seeds.
     let mut seeds = node.settings.seeds.clone();
     seeds.shuffle(&mut rand::rng());
     for seed in seeds {
@@ -119,11 +130,11 @@
             ask_peer(node, seed, &mut report).await;
         }
     }
-    for _ in 0..PEERS_ASKED {
+    for _ in 0..MAX_PEERS_PER_ROUND {
         let Some(peer) = nearest_unasked(node, &asked) else {
             break;
         };
-        if report.ready_peers >= PEERS_NEEDED {
+        if report.ready_peers >= MIN_READY_PEERS {
             break;
         }
         asked.insert(peer);
@@ -132,6 +143,8 @@
     report
 }
 
+/// Returns a random live member that has not been asked, preferably one in the
+/// same data centre.
 fn nearest_unasked(node: &NodeHandle, asked: &BTreeSet<NodeAddress>) -> Option<NodeAddress> {
     let table = lock(&node.table);
     let mut near = Vec::new();
@@ -153,6 +166,8 @@
         .copied()
 }
 
+/// Sends a join request to a peer and adds its answer to the report. A peer that
+/// does not answer is ignored.
 async fn ask_peer(node: &NodeHandle, peer: NodeAddress, report: &mut JoinReport) {
     let request = {
         let table = lock(&node.table);
@@ -173,20 +188,21 @@
     else {
         return;
     };
-    report.floor = report.floor.max(seen_version);
-    report.incarnation = report.incarnation.max(seen_incarnation);
+    report.min_version = report.min_version.max(seen_version);
+    report.seen_incarnation = report.seen_incarnation.max(seen_incarnation);
     if is_ready {
         report.ready_peers += 1;
     }
-    if status.version > report.newest {
-        report.newest = status.version;
+    if status.version > report.newest_version {
+        report.newest_version = status.version;
         report.newest_peer = Some(peer);
     }
     peer_client::merge_records(node, records);
     targets::restore_departures(node, &departures).await;
 }
 
-/// Peers may remember an earlier life with a clock that was ahead.
+/// Raises the incarnation of this node above the one that peers have seen, which
+/// may be higher if the clock was ahead in an earlier run of the node.
 fn raise_incarnation(node: &NodeHandle, seen: Incarnation) {
     let mut table = lock(&node.table);
     if table.own().incarnation < seen {
@@ -196,32 +212,35 @@
     }
 }
 
+/// Returns `true` if the view of this node is current, reading the log if the
+/// peers and the document source cannot tell.
 async fn is_current(
     node: &NodeHandle,
     report: &JoinReport,
-    floor: ConfigVersion,
+    min_version: ConfigVersion,
     round: u32,
 ) -> bool {
     let held = lock(&node.store).version();
-    if report.ready_peers >= PEERS_NEEDED {
-        return held >= report.newest && held >= floor;
+    if report.ready_peers >= MIN_READY_PEERS {
+        return held >= report.newest_version && held >= min_version;
     }
     if node.documents.is_some() {
-        return documents::is_current(node, floor);
+        return documents::is_current(node, min_version);
     }
-    // In a herd of restarts nobody is ready: seeds and relays ask the log, the
-    // others wait a little for one of them before they ask it too.
+    // When all nodes restart at once, no peer is ready. Seeds and relays then
+    // read the log at once; the others first wait some rounds for one of these,
+    // and after that read the log in a random fifth of the rounds.
     let is_alone = lock(&node.table).len() == 1;
-    let is_first = node.settings.seeds.is_empty()
+    let reads_log_at_once = node.settings.seeds.is_empty()
         || node.settings.seeds.contains(&node.address())
         || (!is_alone && node.is_relay());
-    if !is_first && (round < ROUNDS_BEFORE_LOG || rand::rng().random_bool(0.8)) {
+    if !reads_log_at_once && (round < ROUNDS_BEFORE_LOG || rand::rng().random_bool(0.8)) {
         return false;
     }
     match follow::read_to_end(node).await {
         Ok(end) => {
             let held = lock(&node.store).version();
-            held >= end && held >= floor
+            held >= end && held >= min_version
         }
         Err(error) => {
             log::warn!(event = "not-ready", error:% = error; "node");
@@ -233,17 +252,18 @@
 /// Waits until the node is ready.
 pub async fn wait_ready(node: &NodeHandle) {
     let mut stage = node.stage.subscribe();
-    // The sender lives in the node, so this cannot fail while it is held.
+    // The node owns the sender, so the wait cannot fail.
     let _ = stage.wait_for(|stage| *stage >= NodeStage::Ready).await;
 }
 
-/// Keeps trying the seeds while this node knows nobody else, so that two
-/// halves which started apart find each other.
+/// Periodically asks the seeds that are not live members of this node's table, so
+/// that two parts of a mesh that started separately find each other. Never
+/// returns.
 pub async fn reseed_task(node: NodeHandle) {
     const INTERVAL: Duration = Duration::from_secs(5);
     loop {
         tokio::time::sleep(INTERVAL).await;
-        let unknown: Vec<NodeAddress> = {
+        let unknown_seeds: Vec<NodeAddress> = {
             let table = lock(&node.table);
             let is_unknown =
                 |seed: &NodeAddress| table.get(*seed).is_none_or(|entry| !entry.record.is_live());
@@ -254,7 +274,7 @@
                 .filter(is_unknown)
                 .collect()
         };
-        for seed in unknown {
+        for seed in unknown_seeds {
             let mut report = JoinReport::default();
             ask_peer(&node, seed, &mut report).await;
         }
--- a/wisteriaturnd/src/control/store.rs
+++ b/wisteriaturnd/src/control/store.rs
@@ -1,4 +1,4 @@
-//! The configuration that a node has folded, and how it is put in force.
+//! The configuration state of a node and the view that is built from it.
 
 use std::sync::Arc;
 
@@ -13,49 +13,50 @@
 use wisteriaturn::ids::ConfigVersion;
 use wisteriaturn::invariant::{Invariant, check};
 
-/// What folding a record did.
+/// The outcome of folding a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FoldOutcome {
-    /// The record was the next one.
+    /// The record was the next one and was folded.
     Folded(FoldVerdict),
-    /// The record was folded before.
+    /// The record had already been folded.
     Duplicate,
-    /// Records before this one are missing.
+    /// Earlier records are missing, so the record was not folded.
     Gap,
 }
 
-/// The folded state, the newest records and the view built from them.
+/// The configuration state, the newest records or documents that lead to it, and
+/// the view built from it.
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     state: ConfigState,
     tail: RecordTail,
     history: DocumentHistory,
-    delta: Option<DocumentDelta>,
+    cached_delta: Option<DocumentDelta>,
     view: Arc<ConfigView>,
 }
 
 impl ConfigStore {
-    /// Returns the empty configuration.
+    /// Returns a store with the empty configuration.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the folded state.
+    /// Returns the current state.
     pub fn state(&self) -> &ConfigState {
         &self.state
     }
 
-    /// Returns the view of the folded state.
+    /// Returns the view of the current state.
     pub fn view(&self) -> Arc<ConfigView> {
         Arc::clone(&self.view)
     }
 
-    /// Returns the version folded.
+    /// Returns the version of the current state.
     pub fn version(&self) -> ConfigVersion {
         self.state.version()
     }
 
-    /// Folds the record that leads to `version`.
+    /// Folds the record that results in `version`.
     pub fn fold(&mut self, version: ConfigVersion, record: &Bytes) -> FoldOutcome {
         let held = self.state.version();
         if version <= held {
@@ -67,29 +68,33 @@
         let verdict = self.state.fold(record);
         self.tail.push(record.clone());
         check(Invariant::VersionRises, self.state.version() > held);
-        self.rebuild(verdict == FoldVerdict::Accepted);
+        self.rebuild_view(verdict == FoldVerdict::Accepted);
         FoldOutcome::Folded(verdict)
     }
 
-    /// Takes a snapshot if it is newer than what is held.
+    /// Replaces the state with a newer one. Returns `false` if `state` is not newer.
     pub fn adopt(&mut self, state: ConfigState) -> bool {
         if state.version() <= self.state.version() {
             return false;
         }
         self.tail = RecordTail::starting_at(state.version());
         self.state = state;
-        self.rebuild(true);
+        self.rebuild_view(true);
         true
     }
 
-    /// Returns the records after a version, or nothing when a snapshot is needed.
+    /// Returns up to `limit` records after `version`, or `None` if these are no
+    /// longer kept and a snapshot is needed.
     pub fn records_after(&self, version: ConfigVersion, limit: usize) -> Option<Vec<Bytes>> {
         self.tail.records_after(version, limit)
     }
 
-    /// Takes a document if it is newer than what is held, and remembers the one
-    /// before, so that others can be told the difference. States that were
-    /// folded from changes have other hashes and are not remembered.
+    /// Replaces the state with that of a newer document and keeps the previous
+    /// one, so that peers can be sent a delta. Returns `false` if `state` is not
+    /// newer.
+    ///
+    /// States that were folded from changes have different hashes and are not
+    /// kept.
     pub fn adopt_document(&mut self, state: ConfigState) -> bool {
         let before = self.state.clone();
         if !self.adopt(state) {
@@ -101,11 +106,13 @@
         true
     }
 
-    /// Takes the difference to a newer document.
+    /// Applies the delta to a newer document. Returns `Ok(false)` if the document
+    /// is not newer.
     ///
     /// # Errors
     ///
-    /// [`Rejection`] when it does not lead from what is held to what it says.
+    /// Returns a [`Rejection`] if the delta does not start from the current state
+    /// or does not yield the document that it names.
     pub fn adopt_delta(&mut self, delta: &DocumentDelta) -> Result<bool, Rejection> {
         if delta.to <= self.state.version() {
             return Ok(false);
@@ -114,32 +121,33 @@
         Ok(self.adopt_document(state))
     }
 
-    /// Returns what leads from a version to the one held, while that version is
-    /// remembered.
+    /// Returns the delta from `version` to the current document, or `None` if the
+    /// document of that version is no longer kept.
     ///
-    /// The last difference is kept: a whole data centre asks for it at once.
+    /// The last delta is cached, because all nodes of a data centre request the
+    /// same one at once.
     pub fn delta_from(&mut self, version: ConfigVersion) -> Option<DocumentDelta> {
-        let is_kept = |delta: &&DocumentDelta| delta.from == version && delta.to == self.version();
-        if let Some(delta) = self.delta.as_ref().filter(is_kept) {
+        let is_match = |delta: &&DocumentDelta| delta.from == version && delta.to == self.version();
+        if let Some(delta) = self.cached_delta.as_ref().filter(is_match) {
             return Some(delta.clone());
         }
         let before = self.history.get(version)?;
-        self.delta = delta_between(before, &self.state).ok();
-        self.delta.clone()
+        self.cached_delta = delta_between(before, &self.state).ok();
+        self.cached_delta.clone()
     }
 
-    /// Encodes the state as a snapshot.
+    /// Returns the current state, encoded as a snapshot.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] when a resource cannot be encoded.
+    /// Returns a [`CodecError`] if a resource cannot be encoded.
     pub fn snapshot(&self) -> Result<Bytes, CodecError> {
         encode_snapshot(&self.state)
     }
 
-    /// Builds the view anew. A rejected record changes only the version, so
-    /// the routes and services are shared with the view before.
-    fn rebuild(&mut self, has_changed: bool) {
+    /// Rebuilds the view. A rejected record changes only the version, so the new
+    /// view then shares its routes and services with the old one.
+    fn rebuild_view(&mut self, has_changed: bool) {
         let view = if has_changed {
             ConfigView::try_from(&self.state)
         } else {
@@ -149,8 +157,9 @@
         };
         match view {
             Ok(view) => self.view = Arc::new(view),
-            // The fold validated the same set, so this is a broken invariant,
-            // which `try_from` counted; the view in force stays.
+            // The fold has validated these resources, so this is an invariant
+            // violation, which `try_from` has counted. The old view stays in
+            // force.
             Err(error) => log::error!(event = "view-refused", error:% = error; "config"),
         }
     }
--- a/wisteriaturnd/src/lifecycle.rs
+++ b/wisteriaturnd/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The life of a node: opening its ports, running its tasks, and the planned
-//! stop that cuts no request.
+//! The lifecycle of a node: opening its ports, running its tasks, and a graceful
+//! stop that drains the calls in flight.
 
 use std::time::Duration;
 
@@ -24,31 +24,31 @@
 use crate::mesh::prober;
 use crate::node::{NodeBuilder, NodeHandle, NodeStage};
 
-/// How often a stopping node looks whether its gates are empty.
-const EMPTY_CHECK: Duration = Duration::from_millis(10);
+/// Interval at which a stopping node checks whether its gates are empty.
+const EMPTY_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time in which the others hear of a leaving target before the gates count as
-/// empty: calls that were on their way are then refused by this node and not
-/// by a closed port.
-const LEAVE_NOTICE: Duration = Duration::from_millis(500);
+/// Time for the other nodes to learn that the targets here are leaving. The gates
+/// do not count as empty before that, so that calls already on their way are
+/// refused by this node and not by a closed port.
+const DEPARTURE_NOTICE_TIME: Duration = Duration::from_millis(500);
 
-/// Time for the last answers to leave and for connections to close.
-const CLOSE_TIME: Duration = Duration::from_millis(200);
+/// Time for sending the last answers and for closing connections.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A node that runs.
+/// A node whose tasks run.
 #[derive(Debug)]
 pub struct RunningNode {
-    /// The node.
+    /// The shared state of the node.
     pub node: NodeHandle,
     connections: TaskTracker,
 }
 
 impl RunningNode {
-    /// Opens the ports and starts all tasks.
+    /// Opens the ports of a node and starts all its tasks.
     ///
     /// # Errors
     ///
-    /// The error of a port that cannot be opened.
+    /// Returns the I/O error if a port cannot be opened.
     pub async fn start(builder: NodeBuilder) -> std::io::Result<Self> {
         let settings = builder.settings();
         invariant::set_strict(settings.strict);
@@ -86,39 +86,52 @@
         Ok(Self { node, connections })
     }
 
-    /// Stops as planned: callers are told first, and meanwhile the gates go on
-    /// with what can end in time, since their targets' slots would stand empty.
-    /// Then the gates refuse new calls and the others are told; calls in flight
-    /// end; the ingress closes last, since a target may need it to end its own
-    /// calls.
+    /// Stops the node gracefully.
+    ///
+    /// 1. Lame duck: callers are told that the node is about to stop. Meanwhile
+    ///    its gates still accept calls that can finish in time, since the slots
+    ///    of its targets would otherwise stay unused.
+    /// 2. Draining: the gates refuse new calls, other nodes are told, and calls in
+    ///    flight run to their end.
+    /// 3. Stopping: the ingress closes last, since a target may need it to
+    ///    complete its own calls.
+    ///
+    /// Calls that are still in flight when the drain timeout expires are answered
+    /// by the node itself.
     pub async fn stop(self) {
         let node = &self.node;
-        let until = node.clock.now() + node.settings.tuning.drain_timeout;
+        let drain_deadline = node.clock.now() + node.settings.tuning.drain_timeout;
         log::info!(event = "stopping", calls_at_gate = node.targets.in_flight(); "node");
         node.metrics.ready.set(0);
-        // Callers need a moment to hear that this node is not ready.
+        // Callers need some time to notice that this node is not ready.
         let lame_duck = node.settings.tuning.lame_duck;
-        let warned = tokio::time::sleep(lame_duck);
-        let gate_time = lame_duck.saturating_sub(LEAVE_NOTICE);
-        if !gate_time.is_zero() {
-            *lock(&node.gate_closes_at) = Some(node.clock.now() + gate_time);
+        let lame_duck_end = tokio::time::sleep(lame_duck);
+        let gate_open_time = lame_duck.saturating_sub(DEPARTURE_NOTICE_TIME);
+        if !gate_open_time.is_zero() {
+            *lock(&node.gate_closes_at) = Some(node.clock.now() + gate_open_time);
             node.stage.send_replace(NodeStage::LameDuck);
-            tokio::time::sleep(gate_time).await;
+            tokio::time::sleep(gate_open_time).await;
         }
         node.stage.send_replace(NodeStage::Draining);
         targets::drain_all(node).await;
-        if timeout_at(until.into(), wait_empty(node)).await.is_err() {
+        if timeout_at(drain_deadline.into(), wait_for_empty_gates(node))
+            .await
+            .is_err()
+        {
             log::warn!(event = "drain-cut", calls_at_gate = node.targets.in_flight(); "node");
         }
-        warned.await;
+        lame_duck_end.await;
         node.stage.send_replace(NodeStage::Stopping);
         self.connections.close();
-        let is_closed = timeout_at(until.into(), self.connections.wait()).await;
+        let is_closed = timeout_at(drain_deadline.into(), self.connections.wait()).await;
         if is_closed.is_err() {
             log::warn!(event = "calls-cut", open = self.connections.len(); "node");
             node.stage.send_replace(NodeStage::Closing);
         }
-        if timeout(CLOSE_TIME, self.connections.wait()).await.is_err() {
+        if timeout(CLOSE_TIMEOUT, self.connections.wait())
+            .await
+            .is_err()
+        {
             log::warn!(event = "connections-cut", open = self.connections.len(); "node");
         }
         let record = {
@@ -140,9 +153,11 @@
     }
 }
 
-async fn wait_empty(node: &NodeHandle) {
-    tokio::time::sleep(LEAVE_NOTICE).await;
+/// Waits until other nodes know that the targets here are leaving and no call is
+/// left at a gate.
+async fn wait_for_empty_gates(node: &NodeHandle) {
+    tokio::time::sleep(DEPARTURE_NOTICE_TIME).await;
     while node.targets.in_flight() > 0 {
-        tokio::time::sleep(EMPTY_CHECK).await;
+        tokio::time::sleep(EMPTY_CHECK_INTERVAL).await;
     }
 }
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -1,8 +1,8 @@
-//! The state that the tasks of a node share.
+//! The state that all tasks of a node share.
 //!
-//! [`NodeHandle`] is cheap to clone and every task holds one. Each part has a
-//! lock of its own, held for a few steps and never across an await, and what a
-//! call needs most, the view in force, needs no lock at all.
+//! [`NodeHandle`] is cheap to clone and every task holds one. Each component has
+//! its own lock, which is held briefly and never across an await point. The view
+//! in force, which every call reads, takes no lock.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -46,108 +46,111 @@
 use crate::metrics::{NodeMetrics, TrafficKind, TrafficReach};
 use crate::settings::NodeSettings;
 
-/// The stage of a node's life.
+/// The lifecycle stage of a node. The variants are ordered; a node never goes
+/// back to an earlier stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeStage {
-    /// The view is not current yet.
+    /// The configuration view is not current yet.
     Starting,
-    /// The node serves.
+    /// The node serves calls.
     Ready,
-    /// Callers hear that the node is about to stop; its ingress and its gate
-    /// still take what can end before they close.
+    /// The node announces that it is about to stop. Its ingress and its gate
+    /// still accept calls that can finish before they close.
     LameDuck,
-    /// The gate refuses new calls; calls in flight end.
+    /// The gate refuses new calls; calls in flight run to their end.
     Draining,
-    /// The ingress closes as well.
+    /// The ingress stops accepting connections as well.
     Stopping,
-    /// The time is over: calls under way are answered by the node itself, since
-    /// a closed connection would tell their callers less.
+    /// The drain timeout has expired. The node itself answers the calls that are
+    /// still in flight, because a closed connection would tell their callers
+    /// less.
     Closing,
 }
 
-/// What the tasks share.
+/// The shared state of a node.
 #[derive(Debug)]
 pub struct NodeState {
-    /// Checked settings.
+    /// The validated settings.
     pub settings: NodeSettings,
-    /// The clock.
+    /// The source of monotonic and wall-clock time.
     pub clock: SharedClock,
-    /// This run of the process.
+    /// Random id of this run of the process.
     pub boot_id: BootId,
-    /// Where the node stands.
+    /// The region and the data centre of the node.
     pub location: NodeLocation,
-    /// The view in force.
+    /// The view in force: the configuration joined with the live targets.
     pub view: ViewCell,
-    /// The folded configuration.
+    /// The configuration that this node has applied.
     pub store: Mutex<ConfigStore>,
-    /// The members.
+    /// The members of the mesh that this node knows, including itself.
     pub table: Mutex<MemberTable>,
-    /// News that rides along on probes.
+    /// Updates to piggyback on probe messages.
     pub rumors: Mutex<RumorQueue>,
-    /// Requests that crash targets.
+    /// Fingerprints of requests that are suspected of crashing targets.
     pub suspects: Mutex<SuspectTable>,
-    /// Metrics.
+    /// The metrics of the node.
     pub metrics: NodeMetrics,
-    /// What was seen of each target.
+    /// Observed load and failures of each target.
     pub load: LoadTracker,
-    /// Calls under way on each route.
+    /// Limits the concurrent calls of each route.
     pub route_limiter: RouteLimiter,
-    /// Calls given to this gate.
+    /// Outcomes of the calls that this gate has accepted.
     pub ledger: CallLedger,
-    /// Targets beside this node.
+    /// The targets on this VM.
     pub targets: LocalTargets,
-    /// Connections to other nodes' gates.
+    /// Connections to the gates of other nodes.
     pub hop_pool: ConnectionPool,
     /// Connections to the local targets.
     pub target_pool: ConnectionPool,
-    /// The platform's log.
+    /// The platform's log, which holds configuration changes and claims.
     pub log: LogPort,
-    /// Where whole configurations come from, if not from changes in the log.
+    /// The source of whole configuration documents, or `None` if the
+    /// configuration is folded from changes in the log.
     pub documents: Option<DocumentPort>,
-    /// Where nodes find each other besides the seeds in the settings.
+    /// A directory for discovering nodes in addition to the configured seeds.
     pub directory: Option<DirectoryPort>,
-    /// Names of the headers that callers and targets know.
+    /// Names of the headers that are exchanged with callers and targets.
     pub edge: EdgeHeaders,
-    /// What the targets on this VM said of themselves.
+    /// The latest announcement and departure of each target on this VM.
     pub announcements: Mutex<AnnouncementTracker>,
-    /// Size of the answers of each route.
+    /// Size and duration of the answers of each route, as seen by the ingress.
     pub answer_estimates: AnswerEstimator,
-    /// Time that the targets on this VM take for calls of each route.
+    /// Time that the targets on this VM take for a call of each route.
     pub run_estimates: AnswerEstimator,
-    /// Claims that this gate asks for.
+    /// Requests claims of idempotency keys for this gate.
     pub claims: ClaimClient,
-    /// Claim streams that this node writes.
+    /// Writes the claim streams that are assigned to this node.
     pub keeper: ClaimKeeper,
-    /// How other nodes are connected to.
+    /// Maps the addresses of other nodes to the addresses to connect to.
     pub addresses: AddressMap,
-    /// The socket for datagrams.
+    /// The socket for gossip datagrams.
     pub udp: UdpSocket,
-    /// Probes that wait for their answer.
+    /// Probes that wait for an acknowledgement, by nonce.
     pub pending_probes: Mutex<HashMap<u64, oneshot::Sender<NodeStatus>>>,
-    /// Tells the version in force to those who wait for one.
+    /// Publishes the configuration version in force.
     pub version: watch::Sender<ConfigVersion>,
-    /// Where this node stands in the source of documents.
+    /// Progress of reading the document source.
     pub source: SourceState,
-    /// Tells the stage to those who wait for one.
+    /// Publishes the lifecycle stage.
     pub stage: watch::Sender<NodeStage>,
-    /// Wakes the task that joins members into the view.
+    /// Wakes the task that rebuilds the view when members change.
     pub members_changed: Notify,
-    /// Whether the node was ready once in its life: before that it knows no
-    /// configuration that it could refuse a route by.
+    /// Whether the node has ever been ready. Before that it may have no
+    /// configuration, so it must not refuse a call for want of a route.
     pub was_ready: AtomicBool,
-    /// Whether a comparison of members is under way.
+    /// Whether an anti-entropy exchange of member records is in progress.
     pub is_anti_entropy_running: AtomicBool,
-    /// When this node last heard another.
+    /// Detects that this node is isolated from all others.
     pub link_monitor: Mutex<LinkMonitor>,
-    /// When the gate closes, once the node is about to stop.
+    /// When the gate starts to refuse calls, once the node is about to stop.
     pub gate_closes_at: Mutex<Option<Instant>>,
-    /// Number of losses of a target at this gate.
+    /// Number of target losses recorded at this gate.
     pub loss_count: AtomicU64,
     budgets: Mutex<BTreeMap<ServiceName, Arc<RetryBudget>>>,
     first_seen: Mutex<HashMap<(NodeAddress, Incarnation, ServiceName), Instant>>,
 }
 
-/// A cheap handle to the state.
+/// A reference-counted handle to the shared state of a node.
 #[derive(Debug, Clone)]
 pub struct NodeHandle(Arc<NodeState>);
 
@@ -159,15 +162,15 @@
     }
 }
 
-/// Maps the address of another node to the one that is connected to.
+/// Maps the configured address of a node to the address to connect to.
 ///
-/// Nodes know each other by the addresses in their settings. A closure here
-/// stands between the two, so that a test can cut or delay one link of many.
+/// Nodes identify each other by the addresses in their settings. Tests put a
+/// closure in between to cut or delay individual links.
 #[derive(Clone)]
 pub struct AddressMap(Arc<dyn Fn(SocketAddr) -> SocketAddr + Send + Sync>);
 
 impl AddressMap {
-    /// Returns the map that `map` is.
+    /// Creates a map from a closure.
     pub fn new<F>(map: F) -> Self
     where
         F: Fn(SocketAddr) -> SocketAddr + Send + Sync + 'static,
@@ -175,12 +178,12 @@
         Self(Arc::new(map))
     }
 
-    /// Returns the map that changes nothing.
+    /// Returns the map that leaves every address unchanged.
     pub fn identity() -> Self {
         Self::new(|address| address)
     }
 
-    /// Returns the address to connect to.
+    /// Returns the address to connect to for a node.
     pub fn map(&self, address: SocketAddr) -> SocketAddr {
         (self.0)(address)
     }
@@ -192,7 +195,7 @@
     }
 }
 
-/// Collects what a node is made of.
+/// Configures and creates a node.
 #[derive(Debug)]
 pub struct NodeBuilder {
     settings: NodeSettings,
@@ -205,7 +208,7 @@
 }
 
 impl NodeBuilder {
-    /// Returns a builder.
+    /// Returns a builder for a node that follows the changes in `log`.
     pub fn new(settings: NodeSettings, clock: SharedClock, log: LogPort) -> Self {
         Self {
             settings,
@@ -218,26 +221,26 @@
         }
     }
 
-    /// Takes whole configurations from `documents` in place of changes from
-    /// the log.
+    /// Reads whole configuration documents from `documents` instead of folding
+    /// changes from the log.
     pub fn documents(mut self, documents: DocumentPort) -> Self {
         self.documents = Some(documents);
         self
     }
 
-    /// Finds other nodes in `directory` besides the seeds.
+    /// Discovers other nodes through `directory` in addition to the seeds.
     pub fn directory(mut self, directory: DirectoryPort) -> Self {
         self.directory = Some(directory);
         self
     }
 
-    /// Speaks to callers and targets by the names in `edge`.
+    /// Sets the header names to use with callers and targets.
     pub fn edge(mut self, edge: EdgeHeaders) -> Self {
         self.edge = edge;
         self
     }
 
-    /// Connects to other nodes by way of `addresses`.
+    /// Sets the mapping from node addresses to the addresses to connect to.
     pub fn addresses(mut self, addresses: AddressMap) -> Self {
         self.addresses = addresses;
         self
@@ -248,7 +251,9 @@
         &self.settings
     }
 
-    /// Returns the node, which runs only the tasks of its claims.
+    /// Creates the node. Only the tasks that handle its claims are started;
+    /// [`RunningNode::start`](crate::lifecycle::RunningNode::start) starts the
+    /// others.
     pub fn build(self, udp: UdpSocket) -> NodeHandle {
         let (settings, clock) = (self.settings, self.clock);
         let own = MemberRecord {
@@ -322,26 +327,26 @@
 }
 
 impl NodeState {
-    /// Returns the address by which other nodes know this one.
+    /// Returns the address that identifies this node to other nodes.
     pub fn address(&self) -> NodeAddress {
         self.settings.peer
     }
 
-    /// Returns the stage of the node.
+    /// Returns the lifecycle stage of the node.
     pub fn current_stage(&self) -> NodeStage {
         *self.stage.borrow()
     }
 
-    /// Notes a sign of life of another node.
+    /// Records that a message from another node has arrived.
     pub fn record_contact(&self) {
         lock(&self.link_monitor).record_contact(self.clock.now());
     }
 
-    /// Tells whether this node is cut off from all others.
+    /// Returns `true` if this node is isolated from all others.
     pub fn is_isolated(&self) -> bool {
         let now = self.clock.now();
         let link = *lock(&self.link_monitor);
-        // Each call asks this, and counting the members looks at all of them.
+        // Every call checks this, and counting members scans the whole table.
         if !link.is_silent(now) {
             return false;
         }
@@ -349,39 +354,40 @@
         link.is_isolated(others, now)
     }
 
-    /// Tells whether callers should come to this node.
+    /// Returns `true` if callers should send calls to this node.
     pub fn is_serving(&self) -> bool {
         self.current_stage() == NodeStage::Ready && !self.is_isolated()
     }
 
-    /// Returns what every probe says of this node.
+    /// Returns the status that this node attaches to its probes.
     pub fn status(&self) -> NodeStatus {
         let view = self.view.load();
-        let mut head = [0; 8];
-        head.copy_from_slice(&view.config.chain[..8]);
+        let mut chain_prefix = [0; 8];
+        chain_prefix.copy_from_slice(&view.config.chain[..8]);
         NodeStatus {
             version: view.config.version,
-            chain: u64::from_le_bytes(head),
+            chain: u64::from_le_bytes(chain_prefix),
             digest: lock(&self.table).digest(),
         }
     }
 
-    /// Puts the folded configuration, joined with the members, in force.
+    /// Joins the current configuration with the members and puts the result in
+    /// force as the new view.
     pub fn publish_view(&self) {
-        // The store's lock is held to the end, so that two tasks cannot put
-        // their views in force in the wrong order.
+        // Holding the store's lock until the view is in force keeps two tasks
+        // from publishing their views in the wrong order.
         let store = lock(&self.store);
         let config = store.view();
         let view = {
             let table = lock(&self.table);
-            let mut seen = lock(&self.first_seen);
+            let mut first_seen = lock(&self.first_seen);
             let now = self.clock.now();
             let members = table.iter().map(|entry| &entry.record);
             let view = ServingView::build(config, members, |member, service| {
                 let key = (member.address, member.incarnation, service.clone());
-                *seen.entry(key).or_insert(now)
+                *first_seen.entry(key).or_insert(now)
             });
-            seen.retain(|(address, incarnation, _), _| {
+            first_seen.retain(|(address, incarnation, _), _| {
                 table
                     .get(*address)
                     .is_some_and(|entry| entry.record.incarnation == *incarnation)
@@ -402,28 +408,29 @@
         });
     }
 
-    /// Tells whether this node is a relay of its data centre.
+    /// Returns `true` if this node is a relay of its data centre, that is, one of
+    /// the members that read the log for the others.
     pub fn is_relay(&self) -> bool {
         let table = lock(&self.table);
         relays(&table, &self.settings.data_centre).contains(&self.settings.peer)
     }
 
-    /// Returns the relays of the other data centres, each with its place.
+    /// Returns the relays of each other data centre that has any.
     pub fn remote_relays(&self) -> BTreeMap<DataCentre, Vec<NodeAddress>> {
         let table = lock(&self.table);
-        let places: Vec<DataCentre> = table.digests().keys().cloned().collect();
-        places
+        let data_centres: Vec<DataCentre> = table.digests().keys().cloned().collect();
+        data_centres
             .into_iter()
-            .filter(|place| *place != self.settings.data_centre)
-            .map(|place| {
-                let found = relays(&table, &place);
-                (place, found)
+            .filter(|data_centre| *data_centre != self.settings.data_centre)
+            .map(|data_centre| {
+                let remote_relays = relays(&table, &data_centre);
+                (data_centre, remote_relays)
             })
-            .filter(|(_, found)| !found.is_empty())
+            .filter(|(_, remote_relays)| !remote_relays.is_empty())
             .collect()
     }
 
-    /// Returns how far traffic to a member goes.
+    /// Returns how far control traffic to an address travels.
     pub fn reach_of(&self, address: SocketAddr) -> TrafficReach {
         let table = lock(&self.table);
         match table.get(address) {
@@ -436,19 +443,21 @@
         }
     }
 
-    /// Counts control bytes sent to a member.
+    /// Adds control bytes that were sent to an address to the metrics.
     pub fn count_sent(&self, kind: TrafficKind, to: SocketAddr, bytes: usize) {
         self.metrics.count_sent(kind, self.reach_of(to), bytes);
     }
 
-    /// Tells whether this node reads the source of documents at the moment.
+    /// Returns `true` if this node currently reads the document source itself.
     pub fn is_source_reader(&self) -> bool {
         self.source.is_reading.load(Ordering::Acquire)
     }
 
-    /// Tells whether to pull a version that a peer holds. A node that follows a
-    /// source of documents reads it there in a moment, so it leaves the peer's
-    /// link alone until it is overdue.
+    /// Returns `true` if this node should pull a newer version that a peer holds.
+    ///
+    /// A node with a document source normally receives the version from there
+    /// within moments, so it puts no load on the peer's link until the version is
+    /// overdue.
     pub fn should_pull(&self, version: ConfigVersion) -> bool {
         if self.documents.is_none() {
             return true;
@@ -457,15 +466,15 @@
         self.is_version_overdue()
     }
 
-    /// Notes that a peer holds a version that this node does not.
+    /// Records that a peer holds a version that this node does not have yet.
     pub fn record_missing_version(&self, version: ConfigVersion) {
         let held = lock(&self.store).version();
         self.source
             .record_missing_version(version, held, self.clock.now());
     }
 
-    /// Tells whether this node has heard of a version for longer than getting it
-    /// takes, and still does not hold it.
+    /// Returns `true` if peers have held a newer version for longer than this node
+    /// normally takes to receive one.
     pub fn is_version_overdue(&self) -> bool {
         let held = lock(&self.store).version();
         self.source.is_overdue(held, self.clock.now())
@@ -484,7 +493,7 @@
         Arc::clone(budget)
     }
 
-    /// Tells the retry budgets how many nodes share their limits.
+    /// Updates the number of nodes that share the limits of the retry budgets.
     pub fn update_retry_budgets(&self) {
         let members = self.live_members();
         for budget in lock(&self.budgets).values() {
@@ -497,9 +506,9 @@
         table.iter().filter(|entry| entry.record.is_live()).count()
     }
 
-    /// Returns the next number for a loss of a target.
+    /// Returns a new id for the loss of a target.
     pub fn next_loss_id(&self) -> u64 {
-        // Losses are told apart across restarts by the wall time.
+        // Starting from the wall-clock time keeps ids distinct across restarts.
         self.clock.unix_millis() + self.loss_count.fetch_add(1, Ordering::Relaxed)
     }
 }
