--- a/testing/src/experiment/scale.rs
+++ b/testing/src/experiment/scale.rs
@@ -18,8 +18,8 @@
 use wisteriaturn::peer::auth::MeshKeys;
 use wisteriaturn::peer::frame::{decode_frame, encode_frame};
 use wisteriaturn::peer::message::{Datagram, PeerAnswer, PeerRequest, encode};
-use wisteriaturnd::mesh::handshake::{self, PortUse};
-use wisteriaturnd::mesh::peer_client::framing;
+use wisteriaturnd::mesh::handshake::{self, PortKind};
+use wisteriaturnd::mesh::peer_client::frame_codec;
 
 use crate::cluster::{ClusterPlan, DATA_CENTRES, MESH_SECRET, TestCluster};
 use crate::experiment::cost::{NodeCost, print_costs, read_costs};
@@ -156,8 +156,8 @@
 async fn inject(peer: SocketAddr, records: &[MemberRecord]) -> Result<()> {
     let keys = MeshKeys::derive([MESH_SECRET]);
     let mut stream = TcpStream::connect(peer).await?;
-    handshake::connect(&mut stream, &keys, PortUse::Peer).await?;
-    let mut framed = Framed::new(stream, framing());
+    handshake::connect(&mut stream, &keys, PortKind::Peer).await?;
+    let mut framed = Framed::new(stream, frame_codec());
     let request = PeerRequest::Exchange {
         data_centres: Vec::new(),
         records: records.to_vec(),
--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -15,7 +15,7 @@
 use wisteriaturnd::admin;
 use wisteriaturnd::error::SettingsError;
 use wisteriaturnd::logs::Sanitized;
-use wisteriaturnd::mesh::handshake::{self, PortUse};
+use wisteriaturnd::mesh::handshake::{self, PortKind};
 use wisteriaturnd::settings::NodeSettings;
 use wisteriaturnd::trial::TRIAL_SETTINGS;
 use yare::parameterized;
@@ -161,14 +161,14 @@
 }
 
 #[parameterized(
-    same = { "a secret of the mesh", PortUse::Hop, true },
-    other_key = { "a secret of others", PortUse::Hop, false },
-    other_port = { "a secret of the mesh", PortUse::Peer, false },
+    same = { "a secret of the mesh", PortKind::Hop, true },
+    other_key = { "a secret of others", PortKind::Hop, false },
+    other_port = { "a secret of the mesh", PortKind::Peer, false },
 )]
 #[test_macro(tokio::test)]
 async fn a_handshake_succeeds_only_with_the_right_key_and_port(
     secret: &str,
-    port: PortUse,
+    port: PortKind,
     is_accepted: bool,
 ) {
     let (mut client, mut server) = tokio::io::duplex(256);
@@ -176,7 +176,7 @@
     let client_keys = MeshKeys::derive([secret]);
     let boot_id = wisteriaturn::ids::BootId(9);
     let server_task = tokio::spawn(async move {
-        handshake::accept(&mut server, &server_keys, PortUse::Hop, boot_id)
+        handshake::accept(&mut server, &server_keys, PortKind::Hop, boot_id)
             .await
             .is_ok()
     });
--- a/wisteriaturnd/src/admin/view.rs
+++ b/wisteriaturnd/src/admin/view.rs
@@ -22,7 +22,7 @@
 use crate::admin::reply::{error_reply, json_reply, json_reply_with_etag};
 use crate::http::body::{BodyError, NodeBody, boxed};
 use crate::mesh::peer_client;
-use crate::mesh::peer_server::holders;
+use crate::mesh::peer_server::collect_holders;
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
@@ -209,7 +209,7 @@
         let node = node.clone();
         queries.spawn(async move { query_data_centre(&node, data_centre, relays, version).await });
     }
-    let mut reports = vec![reached_report(holders(node, version).await)];
+    let mut reports = vec![reached_report(collect_holders(node, version).await)];
     while let Some(Ok(report)) = queries.join_next().await {
         reports.push(report);
     }
--- a/wisteriaturnd/src/claims/client.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -19,7 +19,7 @@
 use wisteriaturn::member::role::keeper;
 use wisteriaturn::peer::message::{PeerAnswer, PeerRequest};
 
-use crate::mesh::peer_client::PeerLink;
+use crate::mesh::peer_client::PeerConnection;
 use crate::metrics::TrafficKind;
 use crate::node::NodeHandle;
 
@@ -116,7 +116,7 @@
 }
 
 async fn send_task(node: NodeHandle, stream: u32, mut queue: mpsc::Receiver<QueuedItem>) {
-    let mut link: Option<(NodeAddress, PeerLink)> = None;
+    let mut link: Option<(NodeAddress, PeerConnection)> = None;
     let mut waiting: Vec<QueuedItem> = Vec::new();
     loop {
         if waiting.is_empty() && queue.recv_many(&mut waiting, MAX_BATCH_ITEMS).await == 0 {
@@ -164,7 +164,7 @@
 
 async fn send_request(
     node: &NodeHandle,
-    link: &mut Option<(NodeAddress, PeerLink)>,
+    link: &mut Option<(NodeAddress, PeerConnection)>,
     request: ClaimRequest,
 ) -> Option<Vec<ClaimOutcome>> {
     let home = node.settings.log_data_centre.as_ref();
@@ -175,12 +175,12 @@
     if link.as_ref().is_none_or(|(peer, _)| *peer != keeper) {
         *link = None;
         log::info!(event = "keeper", stream = request.stream, chosen:% = keeper; "place");
-        let opened = PeerLink::open(node, keeper).await.ok()?;
+        let opened = PeerConnection::open(node, keeper).await.ok()?;
         *link = Some((keeper, opened));
     }
     let (_, peer_link) = link.as_mut()?;
     let request = PeerRequest::Claim(request);
-    match peer_link.ask(node, &request, TrafficKind::Claim).await {
+    match peer_link.request(node, &request, TrafficKind::Claim).await {
         Ok(PeerAnswer::Claimed(outcomes)) => Some(outcomes),
         Ok(_) | Err(_) => {
             *link = None;
--- a/wisteriaturnd/src/control/follow.rs
+++ b/wisteriaturnd/src/control/follow.rs
@@ -90,7 +90,7 @@
     };
     for record in batch.records {
         let next = ConfigVersion(record.offset.0 + 1);
-        if let FoldOutcome::Folded(_) = gossip::fold_record(node, next, &record.data) {
+        if let FoldOutcome::Folded(_) = gossip::apply_record(node, next, &record.data) {
             gossip::push_record(node, next, &record.data).await;
         }
     }
--- a/wisteriaturnd/src/control/start.rs
+++ b/wisteriaturnd/src/control/start.rs
@@ -20,8 +20,8 @@
 use crate::control::follow;
 use crate::gate::targets;
 use crate::mesh::directory;
-use crate::mesh::news;
 use crate::mesh::peer_client;
+use crate::mesh::rumors;
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeStage};
 
@@ -96,7 +96,7 @@
         table.update_own(node.clock.now(), |own| own.is_ready = true)
     };
     node.publish_view();
-    news::spread_own(&node, record).await;
+    rumors::spread_own_record(&node, record).await;
 }
 
 /// Reads the directory if this node does not know any other member.
@@ -107,7 +107,7 @@
     if lock(&node.table).len() > 1 {
         return;
     }
-    if let Err(error) = directory::find(node, port).await {
+    if let Err(error) = directory::discover_members(node, port).await {
         log::warn!(event = "directory-read-failed", error:% = error; "member");
     }
 }
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -51,13 +51,13 @@
         .map(|target| target.gate.load());
     log::info!(
         event = "admission",
-        request:% = call.request_text(),
+        request:% = call.loggable_request_id(),
         service:% = call.service,
         reason = reason,
         waited_us = waited.as_micros() as u64,
         busy = load.map_or(0, |load| load.busy),
         waiting = load.map_or(0, |load| load.waiting),
-        aim_ms = call.aim.remaining(arrival).as_millis() as u64,
+        aim_ms = call.soft_deadline.remaining(arrival).as_millis() as u64,
         deadline_ms = call.deadline.remaining(arrival).as_millis() as u64;
         "gate"
     );
@@ -93,10 +93,10 @@
     }
     let slot_request = SlotRequest {
         rank: QueueRank::new(call.class, call.priority),
-        latency_target: call.aim.at(),
+        latency_target: call.soft_deadline.at(),
         deadline: until,
         expected_run: run_time,
-        max_wait: call.patience,
+        max_wait: call.max_wait,
     };
     let acquired = timeout_at(until.into(), target.gate.acquire_for(slot_request)).await;
     let permit = acquired.map_err(|_| RefusalReason::Deadline)??;
--- a/wisteriaturnd/src/gate/crash.rs
+++ b/wisteriaturnd/src/gate/crash.rs
@@ -16,7 +16,7 @@
 use crate::gate::targets;
 use crate::http::body::BodyEnd;
 use crate::mesh::hop::GateCall;
-use crate::mesh::news;
+use crate::mesh::rumors;
 use crate::node::NodeHandle;
 
 /// Timeout for each step of the check whether a target's process is gone.
@@ -31,7 +31,7 @@
             let is_cleared = lock(&node.suspects).record_success(fingerprint);
             if is_cleared {
                 tokio::spawn(async move {
-                    news::spread(&node, Rumor::Cleared { fingerprint }).await;
+                    rumors::spread(&node, Rumor::Cleared { fingerprint }).await;
                 });
             }
         }
@@ -88,7 +88,7 @@
             node: node.address(),
             loss,
         };
-        news::spread(node, rumor).await;
+        rumors::spread(node, rumor).await;
     }
     true
 }
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -20,8 +20,8 @@
 use crate::http::body::{NodeBody, boxed, full};
 use crate::http::headers;
 use crate::http::listener::{PortLimits, accept_until_stopped, serve_http};
-use crate::mesh::handshake::{self, PortUse};
-use crate::mesh::hop::{ASK_REVOKE, GateCall};
+use crate::mesh::handshake::{self, PortKind};
+use crate::mesh::hop::{GateCall, INQUIRY_REVOKE};
 use crate::node::NodeHandle;
 
 /// Limits of the port. They are higher than those of the ingress, since a
@@ -46,8 +46,13 @@
 }
 
 async fn serve(node: &NodeHandle, mut stream: TcpStream) {
-    let accepted =
-        handshake::accept(&mut stream, &node.settings.keys, PortUse::Hop, node.boot_id).await;
+    let accepted = handshake::accept(
+        &mut stream,
+        &node.settings.keys,
+        PortKind::Hop,
+        node.boot_id,
+    )
+    .await;
     if accepted.is_err() {
         node.metrics.count_drop("hop-unauthenticated");
         return;
@@ -89,9 +94,9 @@
         priority: headers::parsed(map, &headers::PRIORITY).unwrap_or_default(),
         request_id: map.get(&node.edge.request_id).cloned(),
         route: headers::parsed(map, &headers::ROUTE),
-        aim: CallDeadline::for_call(&node.clock, remaining, soft_deadline),
+        soft_deadline: CallDeadline::for_call(&node.clock, remaining, soft_deadline),
         deadline: CallDeadline::for_call(&node.clock, remaining, None),
-        patience: headers::parsed(map, &headers::MAX_WAIT_MS)
+        max_wait: headers::parsed(map, &headers::MAX_WAIT_MS)
             .map_or(Duration::MAX, Duration::from_millis),
         is_idempotent,
         fingerprint: headers::parsed(map, &headers::FINGERPRINT)?,
@@ -114,10 +119,10 @@
 }
 
 /// Returns what this gate knows about a call. If the call is running, waits for
-/// its result. If `inquiry` is [`ASK_REVOKE`], a call that has not started is
+/// its result. If `inquiry` is [`INQUIRY_REVOKE`], a call that has not started is
 /// revoked.
 pub async fn inquire(node: &NodeHandle, inquiry: &str, call: CallId) -> InquiryAnswer {
-    let status = if inquiry == ASK_REVOKE {
+    let status = if inquiry == INQUIRY_REVOKE {
         node.ledger.revoke(call)
     } else {
         node.ledger.status(call)
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -29,7 +29,7 @@
 use crate::http::exchange::pooled_body;
 use crate::http::headers;
 use crate::http::pool::PooledConnection;
-use crate::mesh::hop::{self, ASK_INQUIRE, GateCall};
+use crate::mesh::hop::{self, GateCall, INQUIRY_STATUS};
 use crate::node::NodeHandle;
 
 /// Runs or refuses a call. Headers of the response state the outcome of the call
@@ -315,9 +315,9 @@
             if holder.boot_id != node.boot_id {
                 return InquiryAnswer::Unknown;
             }
-            return port::inquire(node, ASK_INQUIRE, holder.run).await;
+            return port::inquire(node, INQUIRY_STATUS, holder.run).await;
         }
-        hop::ask(node, holder.hop, ASK_INQUIRE, holder.run, holder.boot_id)
+        hop::send_inquiry(node, holder.hop, INQUIRY_STATUS, holder.run, holder.boot_id)
             .await
             .unwrap_or(InquiryAnswer::Unknown)
     };
--- a/wisteriaturnd/src/gate/send.rs
+++ b/wisteriaturnd/src/gate/send.rs
@@ -83,7 +83,7 @@
     if kind != AnswerKind::Own {
         log::warn!(
             event = "answer-refused",
-            request:% = call.request_text(),
+            request:% = call.loggable_request_id(),
             service:% = call.service,
             target:% = target.address,
             standing:% = kind.name(),
--- a/wisteriaturnd/src/gate/targets.rs
+++ b/wisteriaturnd/src/gate/targets.rs
@@ -17,7 +17,7 @@
 use wisteriaturn::ids::{Incarnation, InstanceId, Sequence, ServiceName, SlotCount};
 use wisteriaturn::member::record::{MAX_TARGETS, TargetDeparture, TargetRecord, TargetState};
 
-use crate::mesh::news;
+use crate::mesh::rumors;
 use crate::node::{NodeHandle, NodeStage, NodeState};
 
 /// An announcement that a target sends to its node.
@@ -376,7 +376,7 @@
         );
     }
     node.publish_view();
-    news::spread_own(node, record).await;
+    rumors::spread_own_record(node, record).await;
 }
 
 /// Withdraws targets whose registration has expired.
--- a/wisteriaturnd/src/http/pool.rs
+++ b/wisteriaturnd/src/http/pool.rs
@@ -24,7 +24,7 @@
 use crate::http::body::NodeBody;
 use crate::http::headers;
 use crate::http::tcp_timeout;
-use crate::mesh::handshake::{self, PortUse};
+use crate::mesh::handshake::{self, PortKind};
 use crate::node::AddressMap;
 
 /// Timeout for opening a connection. A node in another region is 8 ms away, so
@@ -166,7 +166,7 @@
             tcp_timeout::enable_keepalive(&stream).map_err(unreachable)?;
         }
         let boot_id = match &self.keys {
-            Some(keys) => handshake::connect(&mut stream, keys, PortUse::Hop).await?,
+            Some(keys) => handshake::connect(&mut stream, keys, PortKind::Hop).await?,
             None => BootId(0),
         };
         let (sender, connection) = Builder::new()
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -275,7 +275,7 @@
     log::log!(
         level,
         event = "attempt",
-        request:% = gate_call.request_text(),
+        request:% = gate_call.loggable_request_id(),
         call:% = gate_call.call,
         target:% = target.node,
         attempt = number,
@@ -289,7 +289,7 @@
     }
 }
 
-fn gate_call(call: &RoutedCall, patience: Duration) -> GateCall {
+fn gate_call(call: &RoutedCall, max_wait: Duration) -> GateCall {
     let service = call.service.spec.name.clone();
     let key = call.parts.headers.get(headers::IDEMPOTENCY_KEY);
     GateCall {
@@ -297,10 +297,10 @@
         class: call.route.spec.class,
         priority: call.route.spec.priority,
         route: Some(call.route.spec.name.clone()),
-        aim: call.soft_deadline,
+        soft_deadline: call.soft_deadline,
         request_id: call.request_id.clone(),
         deadline: call.deadline,
-        patience,
+        max_wait,
         is_idempotent: call.is_idempotent,
         fingerprint: call.fingerprint,
         key: key
@@ -335,11 +335,11 @@
         HopResult::Answered(response) => response,
         HopResult::Unsent => refusal(CallOutcome::NotRun, RefusalReason::Unreachable),
         HopResult::Lost(boot_id) => {
-            let reason = hop::lost_reason(call, node.clock.now());
+            let reason = hop::lost_exchange_reason(call, node.clock.now());
             if call.is_idempotent {
                 return refusal(CallOutcome::Unknown, reason);
             }
-            let answer = hop::resolve(node, target, call, boot_id).await;
+            let answer = hop::resolve_lost_call(node, target, call, boot_id).await;
             inquiry_response(&answer, reason)
         }
     }
@@ -489,7 +489,7 @@
         if self.target.node == self.node.address() {
             self.node.ledger.revoke(self.call.call);
         } else {
-            hop::revoke_later(&self.node, self.target.clone(), self.call.clone());
+            hop::spawn_revocation(&self.node, self.target.clone(), self.call.clone());
         }
     }
 }
--- a/wisteriaturnd/src/lifecycle.rs
+++ b/wisteriaturnd/src/lifecycle.rs
@@ -19,9 +19,9 @@
 use crate::ingress;
 use crate::mesh::directory;
 use crate::mesh::gossip;
-use crate::mesh::news;
 use crate::mesh::peer_server;
 use crate::mesh::prober;
+use crate::mesh::rumors;
 use crate::node::{NodeBuilder, NodeHandle, NodeStage};
 
 /// Interval at which a stopping node checks whether its gates are empty.
@@ -138,7 +138,7 @@
             let mut table = lock(&node.table);
             table.update_own(node.clock.now(), |own| own.state = MemberState::Left)
         };
-        news::spread_own(node, record).await;
+        rumors::spread_own_record(node, record).await;
         log::info!(event = "stopped"; "node");
         log::logger().flush();
     }
--- a/wisteriaturnd/src/mesh/directory.rs
+++ b/wisteriaturnd/src/mesh/directory.rs
@@ -38,7 +38,7 @@
     }
     loop {
         tokio::time::sleep(jittered(REFRESH_TIME)).await;
-        match find(&node, &port).await {
+        match discover_members(&node, &port).await {
             Ok(records) => remove_gone(&node, &port, &records).await,
             Err(error) => {
                 log::warn!(event = "directory-read-failed", error:% = error; "member");
@@ -53,7 +53,7 @@
 async fn enter(node: &NodeHandle, port: &DirectoryPort) -> Result<(), LogError> {
     let record = lock(&node.table).own().clone();
     port.publish(record).await?;
-    find(node, port).await?;
+    discover_members(node, port).await?;
     Ok(())
 }
 
@@ -62,7 +62,10 @@
 /// # Errors
 ///
 /// [`LogError`] when the directory does not answer.
-pub async fn find(node: &NodeHandle, port: &DirectoryPort) -> Result<Vec<MemberRecord>, LogError> {
+pub async fn discover_members(
+    node: &NodeHandle,
+    port: &DirectoryPort,
+) -> Result<Vec<MemberRecord>, LogError> {
     let records = port.list().await?;
     log::info!(event = "directory-read", entries = records.len(); "member");
     merge_records(node, records.clone());
--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -1,5 +1,5 @@
 //! Datagrams: sending and receiving them, and what probes and pushed records
-//! lead to. News is in [`crate::mesh::news`].
+//! lead to. News is in [`crate::mesh::rumors`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 
 use crate::control::documents;
 use crate::control::store::FoldOutcome;
-use crate::mesh::news;
 use crate::mesh::peer_client;
+use crate::mesh::rumors;
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
@@ -59,7 +59,7 @@
 }
 
 /// Asks others to ping a node; returns whether one of them reached it.
-pub async fn ping_through(
+pub async fn ping_indirectly(
     node: &NodeState,
     helpers: &[NodeAddress],
     target: NodeAddress,
@@ -138,7 +138,7 @@
             rumors,
         } => {
             note_status(node, from, status);
-            news::learn_all(node, from, rumors, false).await;
+            rumors::receive(node, from, rumors, false).await;
             let mut rumors = lock(&node.rumors).take(MAX_RUMOR_BYTES);
             rumors.extend(standing_of(node, from));
             let answer = Datagram::Ack {
@@ -155,7 +155,7 @@
         } => {
             answer_pending(node, nonce, status);
             note_status(node, from, status);
-            news::learn_all(node, from, rumors, false).await;
+            rumors::receive(node, from, rumors, false).await;
         }
         Datagram::IndirectPing { nonce, target } => {
             tokio::spawn(ping_for(node.clone(), from, nonce, target));
@@ -167,7 +167,7 @@
         Datagram::ReaderHeartbeat { version, position } => {
             documents::handle_heartbeat(node, from, version, position);
         }
-        Datagram::Rumors { rumors } => news::learn_all(node, from, rumors, true).await,
+        Datagram::Rumors { rumors } => rumors::receive(node, from, rumors, true).await,
     }
 }
 
@@ -218,7 +218,7 @@
         }
         return;
     };
-    match fold_record(node, version, &record) {
+    match apply_record(node, version, &record) {
         FoldOutcome::Folded(_) => push_record(node, version, &record).await,
         FoldOutcome::Duplicate => {}
         FoldOutcome::Gap => peer_client::spawn_pull(node, from),
@@ -226,7 +226,7 @@
 }
 
 /// Folds one record and puts the result in force.
-pub fn fold_record(node: &NodeState, version: ConfigVersion, record: &Bytes) -> FoldOutcome {
+pub fn apply_record(node: &NodeState, version: ConfigVersion, record: &Bytes) -> FoldOutcome {
     let step = lock(&node.store).fold(version, record);
     if let FoldOutcome::Folded(verdict) = &step {
         node.publish_view();
@@ -241,13 +241,13 @@
         version,
         record: (record.len() <= INLINE_LIMIT).then(|| record.clone()),
     };
-    for peer in some_peers(node) {
+    for peer in fanout_peers(node) {
         send(node, peer, &datagram, TrafficKind::Push).await;
     }
 }
 
 /// Returns a few random nodes of the data centre.
-pub fn some_peers(node: &NodeState) -> Vec<NodeAddress> {
+pub fn fanout_peers(node: &NodeState) -> Vec<NodeAddress> {
     let fanout = node.settings.tuning.fanout;
     random_peers(&lock(&node.table), fanout, &mut rand::rng())
 }
--- a/wisteriaturnd/src/mesh/handshake.rs
+++ b/wisteriaturnd/src/mesh/handshake.rs
@@ -16,25 +16,25 @@
 use crate::error::LinkError;
 
 /// Time for the whole handshake.
-pub const HANDSHAKE_TIME: Duration = Duration::from_secs(2);
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Bytes of a challenge.
 const CHALLENGE_LENGTH: usize = 16;
 
 /// What a port is for; part of what is signed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PortUse {
+pub enum PortKind {
     /// Messages between nodes.
     Peer,
     /// Calls between nodes.
     Hop,
 }
 
-impl PortUse {
+impl PortKind {
     fn label(self) -> &'static [u8] {
         match self {
-            PortUse::Peer => b"peer",
-            PortUse::Hop => b"hop",
+            PortKind::Peer => b"peer",
+            PortKind::Hop => b"hop",
         }
     }
 }
@@ -45,14 +45,22 @@
 /// # Errors
 ///
 /// [`LinkError`] when the connection fails or the proof does not hold.
-pub async fn connect<S>(stream: &mut S, keys: &MeshKeys, port: PortUse) -> Result<BootId, LinkError>
+pub async fn connect<S>(
+    stream: &mut S,
+    keys: &MeshKeys,
+    port: PortKind,
+) -> Result<BootId, LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    timeout(HANDSHAKE_TIME, connect_now(stream, keys, port)).await?
+    timeout(HANDSHAKE_TIMEOUT, connect_now(stream, keys, port)).await?
 }
 
-async fn connect_now<S>(stream: &mut S, keys: &MeshKeys, port: PortUse) -> Result<BootId, LinkError>
+async fn connect_now<S>(
+    stream: &mut S,
+    keys: &MeshKeys,
+    port: PortKind,
+) -> Result<BootId, LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
@@ -80,19 +88,19 @@
 pub async fn accept<S>(
     stream: &mut S,
     keys: &MeshKeys,
-    port: PortUse,
+    port: PortKind,
     life: BootId,
 ) -> Result<(), LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    timeout(HANDSHAKE_TIME, accept_now(stream, keys, port, life)).await?
+    timeout(HANDSHAKE_TIMEOUT, accept_now(stream, keys, port, life)).await?
 }
 
 async fn accept_now<S>(
     stream: &mut S,
     keys: &MeshKeys,
-    port: PortUse,
+    port: PortKind,
     life: BootId,
 ) -> Result<(), LinkError>
 where
@@ -124,7 +132,7 @@
     LinkError::Unreachable(error.to_string())
 }
 
-fn transcript(port: PortUse, role: &[u8], one: &[u8], other: &[u8], life: &[u8]) -> Vec<u8> {
+fn transcript(port: PortKind, role: &[u8], one: &[u8], other: &[u8], life: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(64);
     // The labels have no byte 0, so the parts cannot run into each other.
     bytes.extend_from_slice(port.label());
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -41,10 +41,10 @@
 const LEAST_ASK_TIME: Duration = Duration::from_millis(1_500);
 
 /// Names what a gate is asked.
-pub const ASK_REVOKE: &str = "revoke";
+pub const INQUIRY_REVOKE: &str = "revoke";
 
 /// Names what a gate is asked.
-pub const ASK_INQUIRE: &str = "inquire";
+pub const INQUIRY_STATUS: &str = "inquire";
 
 /// One attempt of a call, as a gate sees it.
 #[derive(Debug, Clone)]
@@ -60,13 +60,13 @@
     /// Route by which it came.
     pub route: Option<RouteName>,
     /// Until when its answer is worth most.
-    pub aim: CallDeadline,
+    pub soft_deadline: CallDeadline,
     /// The caller's name for its attempt.
     pub request_id: Option<HeaderValue>,
     /// When the answer must be there.
     pub deadline: CallDeadline,
     /// Longest wait for a slot that is better than going elsewhere.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// Whether running it twice does no harm.
     pub is_idempotent: bool,
     /// What the target would see.
@@ -77,7 +77,7 @@
 
 impl GateCall {
     /// Returns the caller's name for its attempt, for log lines.
-    pub fn request_text(&self) -> Sanitized<'_> {
+    pub fn loggable_request_id(&self) -> Sanitized<'_> {
         Sanitized::from_header(self.request_id.as_ref())
     }
 }
@@ -94,7 +94,7 @@
 }
 
 /// Writes a call into the headers of a request between nodes.
-pub fn write_call(headers: &mut HeaderMap, call: &GateCall, now: Instant) {
+pub fn write_call_headers(headers: &mut HeaderMap, call: &GateCall, now: Instant) {
     let left = call.deadline.remaining(now).as_millis();
     headers::set(headers, headers::DEADLINE_MS, left);
     headers::set(headers, headers::CALL, call.call);
@@ -104,13 +104,13 @@
     headers::set(
         headers,
         headers::SOFT_DEADLINE_MS,
-        call.aim.remaining(now).as_millis(),
+        call.soft_deadline.remaining(now).as_millis(),
     );
     if let Some(route) = &call.route {
         headers::set(headers, headers::ROUTE, route);
     }
-    if call.patience < Duration::MAX {
-        headers::set(headers, headers::MAX_WAIT_MS, call.patience.as_millis());
+    if call.max_wait < Duration::MAX {
+        headers::set(headers, headers::MAX_WAIT_MS, call.max_wait.as_millis());
     }
     headers::set(headers, headers::IDEMPOTENT, call.is_idempotent);
     headers::set(headers, headers::FINGERPRINT, call.fingerprint);
@@ -123,7 +123,7 @@
     call: &GateCall,
     mut request: Request<NodeBody>,
 ) -> HopResult {
-    write_call(request.headers_mut(), call, node.clock.now());
+    write_call_headers(request.headers_mut(), call, node.clock.now());
     let until = call.deadline.at().into();
     loop {
         let link = match timeout_at(until, node.hop_pool.acquire(target.hop)).await {
@@ -156,7 +156,7 @@
 }
 
 /// Finds out what became of a call whose exchange was lost.
-pub async fn resolve(
+pub async fn resolve_lost_call(
     node: &NodeHandle,
     target: &TargetEntry,
     call: &GateCall,
@@ -166,7 +166,11 @@
     let wait = call.deadline.remaining(now).max(LEAST_ASK_TIME);
     let until = now + wait;
     // A paused gate keeps its connections, so the direct way gets half.
-    let direct = timeout(wait / 2, ask(node, target.hop, ASK_REVOKE, call.call, life)).await;
+    let direct = timeout(
+        wait / 2,
+        send_inquiry(node, target.hop, INQUIRY_REVOKE, call.call, life),
+    )
+    .await;
     if let Ok(Ok(answer)) = direct {
         return answer;
     }
@@ -203,20 +207,20 @@
     call: CallId,
     life: BootId,
 ) -> InquiryAnswer {
-    ask(node, hop, ASK_REVOKE, call, life)
+    send_inquiry(node, hop, INQUIRY_REVOKE, call, life)
         .await
         .unwrap_or(InquiryAnswer::Unknown)
 }
 
 /// Revokes a call whose caller went away, so that it does not start.
-pub fn revoke_later(node: &NodeHandle, target: TargetEntry, call: GateCall) {
+pub fn spawn_revocation(node: &NodeHandle, target: TargetEntry, call: GateCall) {
     let node = node.clone();
     tokio::spawn(async move {
         let link = node.hop_pool.acquire(target.hop).await;
         if let Ok(link) = link {
             let life = link.boot_id;
             node.hop_pool.release(link);
-            let _ = ask(&node, target.hop, ASK_REVOKE, call.call, life).await;
+            let _ = send_inquiry(&node, target.hop, INQUIRY_REVOKE, call.call, life).await;
         }
     });
 }
@@ -227,7 +231,7 @@
 ///
 /// [`LinkError`] when the gate cannot be reached. A gate in another life
 /// answers, but cannot know.
-pub async fn ask(
+pub async fn send_inquiry(
     node: &NodeHandle,
     hop: NodeAddress,
     question: &str,
@@ -262,7 +266,7 @@
 }
 
 /// Returns the reason that stands for a lost exchange with a gate.
-pub fn lost_reason(call: &GateCall, now: Instant) -> RefusalReason {
+pub fn lost_exchange_reason(call: &GateCall, now: Instant) -> RefusalReason {
     if call.deadline.allows_attempt(now) {
         RefusalReason::GateLost
     } else {
--- a/wisteriaturnd/src/mesh/mod.rs
+++ b/wisteriaturnd/src/mesh/mod.rs
@@ -7,7 +7,7 @@
 pub mod gossip;
 pub mod handshake;
 pub mod hop;
-pub mod news;
 pub mod peer_client;
 pub mod peer_server;
 pub mod prober;
+pub mod rumors;
--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -20,12 +20,12 @@
 use crate::error::LinkError;
 use crate::http::pool::CONNECT_TIMEOUT;
 use crate::mesh::gossip;
-use crate::mesh::handshake::{self, PortUse};
+use crate::mesh::handshake::{self, PortKind};
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
 /// Time for the answer to a request.
-pub const REQUEST_TIME: Duration = Duration::from_secs(5);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Bytes of a TCP connection's packets without data, counted as sent by each
 /// side: opening, handshake acknowledgements and closing.
@@ -33,20 +33,20 @@
 
 /// A connection to the peer port of a node.
 #[derive(Debug)]
-pub struct PeerLink {
+pub struct PeerConnection {
     framed: Framed<TcpStream, LengthDelimitedCodec>,
     peer: NodeAddress,
 }
 
 /// Returns the framing of the peer port; a longer frame is refused before
 /// memory is taken for it.
-pub fn framing() -> LengthDelimitedCodec {
+pub fn frame_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-impl PeerLink {
+impl PeerConnection {
     /// Opens a connection.
     ///
     /// # Errors
@@ -62,9 +62,9 @@
         stream
             .set_nodelay(true)
             .map_err(|error| LinkError::Unreachable(error.to_string()))?;
-        handshake::connect(&mut stream, &node.settings.keys, PortUse::Peer).await?;
+        handshake::connect(&mut stream, &node.settings.keys, PortKind::Peer).await?;
         Ok(Self {
-            framed: Framed::new(stream, framing()),
+            framed: Framed::new(stream, frame_codec()),
             peer,
         })
     }
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// [`LinkError`] after which the connection must not be used again.
-    pub async fn ask(
+    pub async fn request(
         &mut self,
         node: &NodeState,
         request: &PeerRequest,
@@ -82,7 +82,7 @@
     ) -> Result<PeerAnswer, LinkError> {
         let message = encode_frame(request)?;
         node.count_sent(kind, self.peer, message.len() + 40);
-        timeout(REQUEST_TIME, self.exchange(Bytes::from(message))).await?
+        timeout(REQUEST_TIMEOUT, self.exchange(Bytes::from(message))).await?
     }
 
     async fn exchange(&mut self, message: Bytes) -> Result<PeerAnswer, LinkError> {
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// [`LinkError`] as of [`PeerLink`].
+/// [`LinkError`] as of [`PeerConnection`].
 pub async fn request(
     node: &NodeState,
     peer: NodeAddress,
@@ -113,9 +113,9 @@
     kind: TrafficKind,
 ) -> Result<PeerAnswer, LinkError> {
     node.count_sent(kind, peer, CONNECTION_BYTES);
-    PeerLink::open(node, peer)
+    PeerConnection::open(node, peer)
         .await?
-        .ask(node, request, kind)
+        .request(node, request, kind)
         .await
 }
 
@@ -139,7 +139,7 @@
 ///
 /// [`LinkError`] when the peer fails; what came before is in force.
 pub async fn pull(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
-    let mut link = PeerLink::open(node, peer).await?;
+    let mut link = PeerConnection::open(node, peer).await?;
     node.count_sent(TrafficKind::Transfer, peer, CONNECTION_BYTES);
     let mut is_whole_needed = false;
     loop {
@@ -150,7 +150,7 @@
             lock(&node.store).version()
         };
         let answer = link
-            .ask(node, &PeerRequest::Pull { version }, TrafficKind::Transfer)
+            .request(node, &PeerRequest::Pull { version }, TrafficKind::Transfer)
             .await?;
         let has_more = match answer {
             PeerAnswer::Tail { first, records } => take_tail(node, first, records).await,
@@ -172,7 +172,7 @@
     let mut version = first;
     let mut has_folded = false;
     for record in records {
-        if let FoldOutcome::Folded(_) = gossip::fold_record(node, version, &record) {
+        if let FoldOutcome::Folded(_) = gossip::apply_record(node, version, &record) {
             has_folded = true;
             gossip::push_record(node, version, &record).await;
         }
@@ -219,7 +219,7 @@
 
 /// Compares members with a peer and exchanges what differs, unless a
 /// comparison is under way.
-pub fn spawn_compare(node: &NodeHandle, peer: NodeAddress) {
+pub fn spawn_anti_entropy(node: &NodeHandle, peer: NodeAddress) {
     if node.is_anti_entropy_running.swap(true, Ordering::AcqRel) {
         return;
     }
@@ -234,11 +234,11 @@
 
 async fn compare(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
     let kind = TrafficKind::AntiEntropy;
-    let mut link = PeerLink::open(node, peer).await?;
+    let mut link = PeerConnection::open(node, peer).await?;
     node.count_sent(kind, peer, CONNECTION_BYTES);
     let digests = lock(&node.table).digests().clone();
     let answer = link
-        .ask(node, &PeerRequest::Compare { digests }, kind)
+        .request(node, &PeerRequest::Compare { digests }, kind)
         .await?;
     let PeerAnswer::Differing(data_centres) = answer else {
         return Ok(());
@@ -251,7 +251,7 @@
         data_centres,
         records,
     };
-    if let PeerAnswer::Records(records) = link.ask(node, &request, kind).await? {
+    if let PeerAnswer::Records(records) = link.request(node, &request, kind).await? {
         merge_records(node, records);
     }
     Ok(())
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -18,10 +18,10 @@
 
 use crate::error::LinkError;
 use crate::mesh::gossip;
-use crate::mesh::handshake::{self, PortUse};
+use crate::mesh::handshake::{self, PortKind};
 use crate::mesh::hop;
-use crate::mesh::news;
-use crate::mesh::peer_client::{framing, merge_records, records_in};
+use crate::mesh::peer_client::{frame_codec, merge_records, records_in};
+use crate::mesh::rumors;
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeStage};
 
@@ -75,7 +75,7 @@
     let accepted = handshake::accept(
         &mut stream,
         &node.settings.keys,
-        PortUse::Peer,
+        PortKind::Peer,
         node.boot_id,
     )
     .await;
@@ -83,7 +83,7 @@
         node.metrics.count_drop("peer-unauthenticated");
         return Err(error);
     }
-    let mut framed = Framed::new(stream, framing());
+    let mut framed = Framed::new(stream, frame_codec());
     loop {
         let Some(frame) = tokio::time::timeout(IDLE_TIME, framed.next()).await? else {
             return Ok(());
@@ -129,7 +129,9 @@
             records,
         } => exchange(node, &data_centres, records),
         PeerRequest::Pull { version } => pull(node, version, transfers),
-        PeerRequest::Holders { version } => PeerAnswer::Holders(holders(node, version).await),
+        PeerRequest::Holders { version } => {
+            PeerAnswer::Holders(collect_holders(node, version).await)
+        }
         PeerRequest::Claim(demand) => PeerAnswer::Claimed(node.keeper.submit(node, demand).await),
         PeerRequest::Inquire { hop, call, boot_id } => {
             PeerAnswer::Inquired(hop::revoke_for_peer(node, hop, call, boot_id).await)
@@ -173,7 +175,7 @@
     if record.incarnation > seen_incarnation {
         lock(&node.table).merge(record.clone(), node.clock.now());
         node.members_changed.notify_one();
-        news::spread(node, Rumor::Member(record)).await;
+        rumors::spread(node, Rumor::Member(record)).await;
     }
     PeerAnswer::Joined {
         records: records_in(node, &differing(node, digests)),
@@ -228,7 +230,7 @@
 }
 
 /// Asks every live member of this data centre whether it holds a version.
-pub async fn holders(node: &NodeHandle, version: ConfigVersion) -> HolderReport {
+pub async fn collect_holders(node: &NodeHandle, version: ConfigVersion) -> HolderReport {
     let place = node.settings.data_centre.clone();
     let members: Vec<NodeAddress> = lock(&node.table)
         .live_in(&place)
--- a/wisteriaturnd/src/mesh/prober.rs
+++ b/wisteriaturnd/src/mesh/prober.rs
@@ -11,8 +11,8 @@
 use wisteriaturn::member::rumor::Rumor;
 
 use crate::mesh::gossip;
-use crate::mesh::news;
 use crate::mesh::peer_client;
+use crate::mesh::rumors;
 use crate::node::NodeHandle;
 
 /// Members asked to probe one that did not answer.
@@ -117,7 +117,7 @@
         peers.truncate(HELPERS);
         peers
     };
-    let is_reached = gossip::ping_through(node, &helpers, target, wait * 2).await;
+    let is_reached = gossip::ping_indirectly(node, &helpers, target, wait * 2).await;
     if is_reached || is_unsure || !own_link_works(node, Some(target)).await {
         return;
     }
@@ -186,7 +186,7 @@
     if state.mismatches >= needed && !is_recent {
         state.mismatches = 0;
         state.compared = Some(now);
-        peer_client::spawn_compare(node, peer);
+        peer_client::spawn_anti_entropy(node, peer);
     }
 }
 
@@ -197,7 +197,7 @@
     };
     log::warn!(event = "member", member:% = member, state:? = standing; "member");
     node.members_changed.notify_one();
-    news::spread(node, Rumor::Member(record)).await;
+    rumors::spread(node, Rumor::Member(record)).await;
 }
 
 async fn bury_overdue(node: &NodeHandle) {
--- a/wisteriaturnd/src/mesh/news.rs
+++ b/wisteriaturnd/src/mesh/rumors.rs
@@ -15,12 +15,12 @@
 use wisteriaturn::member::table::MergeOutcome;
 use wisteriaturn::peer::message::Datagram;
 
-use crate::mesh::gossip::{send, some_peers};
+use crate::mesh::gossip::{fanout_peers, send};
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
 /// Takes news that came from another node, and passes on what was new.
-pub async fn learn_all(node: &NodeHandle, from: SocketAddr, rumors: Vec<Rumor>, is_pushed: bool) {
+pub async fn receive(node: &NodeHandle, from: SocketAddr, rumors: Vec<Rumor>, is_pushed: bool) {
     let mut news = Vec::new();
     let mut has_members = false;
     for rumor in rumors {
@@ -54,7 +54,7 @@
                 MergeOutcome::Refuted => {
                     let own = lock(&node.table).own().clone();
                     log::info!(event = "refuted", sequence:% = own.sequence; "member");
-                    Box::pin(spread_own(node, own)).await;
+                    Box::pin(spread_own_record(node, own)).await;
                     false
                 }
                 MergeOutcome::Full => {
@@ -83,7 +83,7 @@
 
 /// Sends news, cut into datagrams, to a few nodes of the data centre.
 async fn push_news(node: &NodeState, news: &[Rumor]) {
-    for peer in some_peers(node) {
+    for peer in fanout_peers(node) {
         send_news(node, peer, news).await;
     }
 }
@@ -129,7 +129,7 @@
 }
 
 /// Spreads the own record as urgent news.
-pub async fn spread_own(node: &NodeHandle, record: MemberRecord) {
+pub async fn spread_own_record(node: &NodeHandle, record: MemberRecord) {
     spread(node, Rumor::Member(record)).await;
 }
 
