--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -45,7 +45,7 @@
             continue;
         };
         let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
-            node.metrics.count_drop("admin-connections");
+            node.metrics.record_drop("admin-connections");
             continue;
         };
         let node = node.clone();
--- a/wisteriaturnd/src/claims/keeper.rs
+++ b/wisteriaturnd/src/claims/keeper.rs
@@ -83,7 +83,7 @@
             reply,
         };
         if queue.try_send(queued).is_err() {
-            node.metrics.count_drop("claim-queue-full");
+            node.metrics.record_drop("claim-queue-full");
             return refused();
         }
         outcomes.await.unwrap_or_else(|_| refused())
@@ -310,7 +310,7 @@
         if self.table().len() + items <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
-        self.node.metrics.count_drop("claim-keys-over-limit");
+        self.node.metrics.record_drop("claim-keys-over-limit");
         Err(LogError::Refused(
             "too many unexpired idempotency keys in the stream".to_owned(),
         ))
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -54,7 +54,7 @@
     )
     .await;
     if accepted.is_err() {
-        node.metrics.count_drop("hop-unauthenticated");
+        node.metrics.record_drop("hop-unauthenticated");
         return;
     }
     serve_http(node, stream, LIMITS, |request| handle(node, request)).await;
--- a/wisteriaturnd/src/http/listener.rs
+++ b/wisteriaturnd/src/http/listener.rs
@@ -95,7 +95,7 @@
             continue;
         };
         let Ok(permit) = Arc::clone(&semaphore).try_acquire_owned() else {
-            node.metrics.count_drop(limits.drop_cause);
+            node.metrics.record_drop(limits.drop_cause);
             continue;
         };
         let _ = stream.set_nodelay(true);
--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -38,10 +38,10 @@
     };
     let sealed = node.settings.keys.seal(message);
     if sealed.len() > MAX_DATAGRAM_BYTES {
-        node.metrics.count_drop("datagram-too-large");
+        node.metrics.record_drop("datagram-too-large");
         return;
     }
-    node.count_sent(kind, to, sealed.len() + HEADER_BYTES);
+    node.record_sent(kind, to, sealed.len() + HEADER_BYTES);
     let _ = node.udp.send_to(&sealed, node.addresses.map(to)).await;
 }
 
@@ -81,7 +81,7 @@
 
 fn expect_ack(node: &NodeState, nonce: u64) -> oneshot::Receiver<NodeStatus> {
     let (sender, receiver) = oneshot::channel();
-    lock(&node.pending_probes).insert(nonce, sender);
+    lock(&node.pending_pings).insert(nonce, sender);
     receiver
 }
 
@@ -92,12 +92,12 @@
     wait: Duration,
 ) -> Option<NodeStatus> {
     let answer = tokio::time::timeout(wait, receiver).await;
-    lock(&node.pending_probes).remove(&nonce);
+    lock(&node.pending_pings).remove(&nonce);
     answer.ok()?.ok()
 }
 
 fn answer_pending(node: &NodeState, nonce: u64, status: NodeStatus) {
-    if let Some(sender) = lock(&node.pending_probes).remove(&nonce) {
+    if let Some(sender) = lock(&node.pending_pings).remove(&nonce) {
         let _ = sender.send(status);
     }
 }
@@ -115,17 +115,17 @@
             }
         };
         if length > MAX_DATAGRAM_BYTES {
-            node.metrics.count_drop("datagram-too-large");
+            node.metrics.record_drop("datagram-too-large");
             continue;
         }
         let Ok(message) = node.settings.keys.open(&buffer[..length]) else {
-            node.metrics.count_drop("datagram-unauthenticated");
+            node.metrics.record_drop("datagram-unauthenticated");
             continue;
         };
         node.record_contact();
         match decode(message) {
             Ok(datagram) => receive(&node, from, datagram).await,
-            Err(_) => node.metrics.count_drop("datagram-malformed"),
+            Err(_) => node.metrics.record_drop("datagram-malformed"),
         }
     }
 }
--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -81,7 +81,7 @@
         kind: TrafficKind,
     ) -> Result<PeerAnswer, LinkError> {
         let message = encode_frame(request)?;
-        node.count_sent(kind, self.peer, message.len() + 40);
+        node.record_sent(kind, self.peer, message.len() + 40);
         timeout(REQUEST_TIMEOUT, self.exchange(Bytes::from(message))).await?
     }
 
@@ -112,7 +112,7 @@
     request: &PeerRequest,
     kind: TrafficKind,
 ) -> Result<PeerAnswer, LinkError> {
-    node.count_sent(kind, peer, CONNECTION_BYTES);
+    node.record_sent(kind, peer, CONNECTION_BYTES);
     PeerConnection::open(node, peer)
         .await?
         .request(node, request, kind)
@@ -140,7 +140,7 @@
 /// [`LinkError`] when the peer fails; what came before is in force.
 pub async fn pull(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
     let mut link = PeerConnection::open(node, peer).await?;
-    node.count_sent(TrafficKind::Transfer, peer, CONNECTION_BYTES);
+    node.record_sent(TrafficKind::Transfer, peer, CONNECTION_BYTES);
     let mut is_whole_needed = false;
     loop {
         // Nobody knows a difference from the empty configuration.
@@ -235,7 +235,7 @@
 async fn compare(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
     let kind = TrafficKind::AntiEntropy;
     let mut link = PeerConnection::open(node, peer).await?;
-    node.count_sent(kind, peer, CONNECTION_BYTES);
+    node.record_sent(kind, peer, CONNECTION_BYTES);
     let digests = lock(&node.table).digests().clone();
     let answer = link
         .request(node, &PeerRequest::Compare { digests }, kind)
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -52,7 +52,7 @@
             }
         };
         let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
-            node.metrics.count_drop("peer-connections");
+            node.metrics.record_drop("peer-connections");
             continue;
         };
         let (node, transfers) = (node.clone(), Arc::clone(&transfers));
@@ -80,7 +80,7 @@
     )
     .await;
     if let Err(error) = accepted {
-        node.metrics.count_drop("peer-unauthenticated");
+        node.metrics.record_drop("peer-unauthenticated");
         return Err(error);
     }
     let mut framed = Framed::new(stream, frame_codec());
@@ -92,10 +92,10 @@
         let (peer, kind) = (sender_of(&request), kind_of(&request));
         let answer = encode_frame(&handle(node, request, transfers).await)?;
         if let Some(peer) = peer {
-            node.count_sent(kind, peer, answer.len() + 40);
+            node.record_sent(kind, peer, answer.len() + 40);
         } else {
             let reach = crate::metrics::TrafficReach::Unknown;
-            node.metrics.count_sent(kind, reach, answer.len() + 40);
+            node.metrics.record_sent(kind, reach, answer.len() + 40);
         }
         framed.send(Bytes::from(answer)).await.map_err(lost)?;
     }
--- a/wisteriaturnd/src/mesh/rumors.rs
+++ b/wisteriaturnd/src/mesh/rumors.rs
@@ -58,7 +58,7 @@
                     false
                 }
                 MergeOutcome::Full => {
-                    node.metrics.count_drop("member-table-full");
+                    node.metrics.record_drop("member-table-full");
                     false
                 }
                 _ => false,
--- a/wisteriaturnd/src/metrics.rs
+++ b/wisteriaturnd/src/metrics.rs
@@ -198,12 +198,12 @@
     }
 
     /// Counts something that was dropped.
-    pub fn count_drop(&self, cause: &'static str) {
+    pub fn record_drop(&self, cause: &'static str) {
         self.drops.get_or_create(&DropLabels { cause }).inc();
     }
 
     /// Counts control bytes that were sent.
-    pub fn count_sent(&self, kind: TrafficKind, reach: TrafficReach, bytes: usize) {
+    pub fn record_sent(&self, kind: TrafficKind, reach: TrafficReach, bytes: usize) {
         self.control_bytes
             .get_or_create(&TrafficLabels { kind, reach })
             .inc_by(bytes as u64);
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -125,8 +125,8 @@
     pub addresses: AddressMap,
     /// The socket for gossip datagrams.
     pub udp: UdpSocket,
-    /// Probes that wait for an acknowledgement, by nonce.
-    pub pending_probes: Mutex<HashMap<u64, oneshot::Sender<NodeStatus>>>,
+    /// Senders for the acknowledgements of pings in flight, by nonce.
+    pub pending_pings: Mutex<HashMap<u64, oneshot::Sender<NodeStatus>>>,
     /// Publishes the configuration version in force.
     pub version: watch::Sender<ConfigVersion>,
     /// Progress of reading the document source.
@@ -305,7 +305,7 @@
             keeper,
             udp,
             addresses: self.addresses,
-            pending_probes: Mutex::default(),
+            pending_pings: Mutex::default(),
             version: watch::Sender::new(ConfigVersion(0)),
             source: SourceState::new(),
             stage: watch::Sender::new(NodeStage::Starting),
@@ -444,8 +444,8 @@
     }
 
     /// Adds control bytes that were sent to an address to the metrics.
-    pub fn count_sent(&self, kind: TrafficKind, to: SocketAddr, bytes: usize) {
-        self.metrics.count_sent(kind, self.reach_of(to), bytes);
+    pub fn record_sent(&self, kind: TrafficKind, to: SocketAddr, bytes: usize) {
+        self.metrics.record_sent(kind, self.reach_of(to), bytes);
     }
 
     /// Returns `true` if this node currently reads the document source itself.
