--- a/testing/src/bin/experiment.rs
+++ b/testing/src/bin/experiment.rs
@@ -1,5 +1,8 @@
-//! Runs a mesh of real processes under load, faults or nothing, and prints
-//! what was seen as a table and as CSV.
+//! Runs a mesh of real processes, idle or under load and faults, and prints the
+//! results as a table or as CSV.
+//!
+//! The exit status is 0 on success, 1 if the chaos experiment saw a broken promise or
+//! no command was given, and 2 after an error.
 
 use std::process::ExitCode;
 
@@ -17,15 +20,15 @@
 
 #[derive(Debug, Options)]
 enum ExperimentCommand {
-    #[options(help = "mixed failures under load, with all promises checked")]
+    #[options(help = "mixed faults under load, with every promise checked")]
     Chaos(chaos::ChaosOptions),
-    #[options(help = "convergence time and control bytes for a number of nodes")]
+    #[options(help = "convergence time and control traffic of a number of nodes")]
     Spread(spread::SpreadOptions),
     #[options(help = "cost of a node that knows 1,100 members")]
     Scale(scale::ScaleOptions),
-    #[options(help = "time that the mesh adds to a call")]
+    #[options(help = "latency that the mesh adds to a call")]
     Latency(latency::LatencyOptions),
-    #[options(help = "useful answers under overload, with and without the mesh")]
+    #[options(help = "goodput under overload, with and without the mesh")]
     Overload(overload::OverloadOptions),
 }
 
--- a/testing/src/experiment/callers.rs
+++ b/testing/src/experiment/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send again what they may, and remember what they were told.
+//! Callers that retry only what is safe to retry, and record every outcome.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,26 +10,29 @@
 
 use crate::client;
 
-/// Most times that a caller sends one call.
-const SENDS: usize = 4;
+/// Maximum number of attempts per call.
+const MAX_ATTEMPTS: usize = 4;
 
-/// What all callers were told.
+/// What all callers together have observed.
 #[derive(Debug, Default)]
 pub struct CallerLog {
-    /// Calls by kind, last outcome and reason.
+    /// Number of calls by kind, last outcome and reason.
     pub totals: Mutex<HashMap<(&'static str, String, String), u64>>,
-    /// What was told of each call, by run id.
+    /// Outcomes of all attempts of each call, by run ID.
     pub outcomes_by_run: Mutex<HashMap<String, Vec<String>>>,
-    /// Answers that belonged to another request.
+    /// Number of answers that belonged to another request.
     pub mismatched: AtomicU64,
-    /// Calls that ended without an answer, by ingress.
+    /// Attempts that ended without an answer: the index of the ingress, and when the
+    /// attempt ended.
     pub interrupted: Mutex<Vec<(usize, std::time::Instant)>>,
 }
 
-/// The kinds of calls.
+/// The kinds of calls: reads without side effects, writes with an idempotency key, and
+/// writes without one.
 const KINDS: [&str; 3] = ["read", "keyed", "plain"];
 
-/// Calls through random nodes until told to stop.
+/// Makes one call after the other, each attempt through a random node, until `stop` is
+/// set.
 pub async fn run_caller(
     ingresses: Arc<Vec<SocketAddr>>,
     log: Arc<CallerLog>,
@@ -46,6 +49,7 @@
     }
 }
 
+/// Makes one call, with retries if its kind allows them.
 async fn call(
     ingresses: &[SocketAddr],
     log: &CallerLog,
@@ -59,12 +63,12 @@
         "read" => ("GET", "/portal/page"),
         _ => ("POST", "/dispatch/jobs"),
     };
-    // Only a key, or a call that may run twice, is sent again.
-    let sends = if kind == "plain" { 1 } else { SENDS };
+    // A write without an idempotency key must not run twice, so it isn't retried.
+    let max_attempts = if kind == "plain" { 1 } else { MAX_ATTEMPTS };
     if kind == "keyed" {
         headers.push(("idempotency-key", id));
     }
-    for send in 1..=sends {
+    for attempt in 1..=max_attempts {
         let index = rng.random_range(0..ingresses.len());
         let reply = client::send(ingresses[index], method, path, &headers, b"{}").await;
         let (outcome, reason) = match &reply {
@@ -75,7 +79,7 @@
                 }
                 (outcome, reply.header("wisteriaturn-reason").to_owned())
             }
-            Err(error) => cut_or_refused(log, index, error),
+            Err(error) => failure_outcome(log, index, error),
         };
         let mut outcomes_by_run = log.outcomes_by_run.lock().expect("no panic");
         outcomes_by_run
@@ -83,24 +87,25 @@
             .or_default()
             .push(outcome.clone());
         drop(outcomes_by_run);
-        let is_last = outcome == "done" || send == sends;
+        let is_last = outcome == "done" || attempt == max_attempts;
         if is_last {
-            let mut outcomes = log.totals.lock().expect("no panic");
-            *outcomes.entry((kind, outcome, reason)).or_default() += 1;
+            let mut totals = log.totals.lock().expect("no panic");
+            *totals.entry((kind, outcome, reason)).or_default() += 1;
             return;
         }
     }
 }
 
-/// Tells a port that was closed from a call that was cut.
-fn cut_or_refused(log: &CallerLog, index: usize, error: &eyre::Report) -> (String, String) {
+/// Returns the outcome of an attempt without an answer, with an empty reason: `port
+/// closed` if the connection was refused, or `cut`, which is also recorded in the log.
+fn failure_outcome(log: &CallerLog, index: usize, error: &eyre::Report) -> (String, String) {
     let is_refused = error
         .downcast_ref::<std::io::Error>()
         .is_some_and(|error| error.kind() == std::io::ErrorKind::ConnectionRefused);
     if is_refused {
         return ("port closed".to_owned(), String::new());
     }
-    let mut cut = log.interrupted.lock().expect("no panic");
-    cut.push((index, std::time::Instant::now()));
+    let mut interrupted = log.interrupted.lock().expect("no panic");
+    interrupted.push((index, std::time::Instant::now()));
     ("cut".to_owned(), String::new())
 }
--- a/testing/src/experiment/chaos.rs
+++ b/testing/src/experiment/chaos.rs
@@ -1,5 +1,5 @@
-//! One randomised run: load, operators, mixed faults, and every promise
-//! checked from outside.
+//! One randomised run with load, configuration changes and mixed faults, in which
+//! every promise of the mesh is checked from outside.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use crate::experiment::observer::{ViewLog, observe_node};
 use crate::metrics;
 
-/// How the run is made.
+/// Options of a chaos run.
 #[derive(Debug, Options)]
 pub struct ChaosOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "length of the run in seconds", default = "20")]
+    #[options(help = "duration of the run in seconds", default = "20")]
     seconds: u64,
-    #[options(help = "seed of the faults and the load", default = "1")]
+    #[options(help = "seed of the faults, changes and calls", default = "1")]
     seed: u64,
     #[options(help = "number of nodes, each with a target", default = "8")]
     nodes: usize,
@@ -36,10 +36,10 @@
     callers: u64,
 }
 
-/// Accepted versions with the time at which their writer was told.
+/// The versions of accepted changes, with the time at which each was confirmed.
 type Accepted = Vec<(u64, Instant)>;
 
-/// Runs and prints the table; returns whether every promise was kept.
+/// Runs the experiment and prints the table. Returns `true` if every promise was kept.
 pub async fn run(options: ChaosOptions) -> Result<bool> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: options.nodes,
@@ -83,17 +83,17 @@
     let admins: Vec<_> = (0..options.nodes)
         .map(|index| cluster.admin(index))
         .collect();
-    let operator = tokio::spawn(operate(admins, options.seed, Arc::clone(&stop)));
+    let change_task = tokio::spawn(submit_changes(admins, options.seed, Arc::clone(&stop)));
 
     let mut faults = FaultInjector::new(options.seed, options.nodes, options.places);
-    let until = Instant::now() + Duration::from_secs(options.seconds);
-    while Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(options.seconds);
+    while Instant::now() < deadline {
         faults.step(&mut cluster, &views).await?;
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     faults.undo_all(&mut cluster, &views).await?;
     stop.store(true, Ordering::Relaxed);
-    let accepted = operator.await?;
+    let accepted = change_task.await?;
     while tasks.join_next().await.is_some() {}
     cluster.wait_ready().await?;
     let last = accepted
@@ -105,8 +105,13 @@
     report(&mut cluster, &options, &faults, &views, &calls, &accepted).await
 }
 
-/// Writes changes through random nodes: good ones, races and bad ones.
-async fn operate(admins: Vec<std::net::SocketAddr>, seed: u64, stop: Arc<AtomicBool>) -> Accepted {
+/// Submits changes to random nodes until `stop` is set: valid ones, ones with a
+/// precondition that mostly fails, as after a lost race, and invalid ones.
+async fn submit_changes(
+    admins: Vec<std::net::SocketAddr>,
+    seed: u64,
+    stop: Arc<AtomicBool>,
+) -> Accepted {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
     let mut accepted = Vec::new();
     let mut number = 0_u64;
@@ -138,6 +143,7 @@
     accepted
 }
 
+/// Prints the observations and returns `true` if every promise was kept.
 async fn report(
     cluster: &mut TestCluster,
     options: &ChaosOptions,
@@ -153,21 +159,23 @@
     println!("faults: {:?}", faults.counts);
     print_outcomes(calls);
     let runs = cluster.run_counts();
-    let most = most_runs(&runs);
-    let not_run = not_run_but_ran(&runs, &calls.outcomes_by_run.lock().expect("no panic"));
-    let done_not_run = done_but_not_ran(&runs, &calls.outcomes_by_run.lock().expect("no panic"));
-    let cut = cut_by_stops(faults, calls);
+    let max_run_count = max_runs(&runs);
+    let not_run =
+        count_not_run_but_executed(&runs, &calls.outcomes_by_run.lock().expect("no panic"));
+    let done_not_run =
+        count_done_but_not_executed(&runs, &calls.outcomes_by_run.lock().expect("no panic"));
+    let cut = count_cut_by_stops(faults, calls);
     let mut violations = 0.0;
     for index in 0..options.nodes {
         let text = cluster.metrics(index).await;
         violations += metrics::sum(&text, "wisteriaturn_invariant_violations", "");
     }
-    let took = convergence(views, accepted, options.nodes);
-    let lost = lost_versions(cluster, accepted).await;
+    let took = convergence_percentiles(views, accepted, options.nodes);
+    let lost = count_lost_versions(cluster, accepted).await;
     let promises = [
         (
             "most executions of one call that must run once",
-            most as u64,
+            max_run_count as u64,
             1,
         ),
         ("executions among those told not-run", not_run, 0),
@@ -179,7 +187,7 @@
         ),
         (
             "dangling references",
-            views.dangling.lock().expect("no panic").len() as u64,
+            views.missing_services.lock().expect("no panic").len() as u64,
             0,
         ),
         (
@@ -190,7 +198,7 @@
         ("calls cut by planned stops", cut, 0),
         (
             "planned stops that did not end",
-            u64::from(faults.bad_stops),
+            u64::from(faults.failed_stops),
             0,
         ),
         ("accepted versions lost", lost, 0),
@@ -239,17 +247,20 @@
     }
 }
 
+/// Returns `true` if a run ID belongs to a call that must not run twice.
 fn must_run_once(id: &str) -> bool {
     id.starts_with("keyed") || id.starts_with("plain")
 }
 
-fn most_runs(runs: &HashMap<String, usize>) -> usize {
+/// Returns the highest number of runs of a call that must not run twice.
+fn max_runs(runs: &HashMap<String, usize>) -> usize {
     let once = runs.iter().filter(|(id, _)| must_run_once(id));
     once.map(|(_, count)| *count).max().unwrap_or_default()
 }
 
-/// Counts runs of calls whose every answer was `not-run`.
-fn not_run_but_ran(
+/// Returns the number of calls that ran although every attempt's outcome was
+/// `not-run`.
+fn count_not_run_but_executed(
     runs: &HashMap<String, usize>,
     outcomes_by_run: &HashMap<String, Vec<String>>,
 ) -> u64 {
@@ -259,7 +270,9 @@
     denied.filter(|(id, _)| runs.contains_key(*id)).count() as u64
 }
 
-fn done_but_not_ran(
+/// Returns the number of calls that didn't run although an attempt's outcome was
+/// `done`.
+fn count_done_but_not_executed(
     runs: &HashMap<String, usize>,
     outcomes_by_run: &HashMap<String, Vec<String>>,
 ) -> u64 {
@@ -269,46 +282,46 @@
     done.filter(|(id, _)| !runs.contains_key(*id)).count() as u64
 }
 
-/// Counts calls that ended without an answer while their ingress stopped as
-/// planned.
-fn cut_by_stops(faults: &FaultInjector, calls: &CallerLog) -> u64 {
+/// Returns the number of attempts that ended without an answer during a planned stop
+/// of their ingress node.
+fn count_cut_by_stops(faults: &FaultInjector, calls: &CallerLog) -> u64 {
     let cut = calls.interrupted.lock().expect("no panic");
-    let is_cut = |(index, when): &&(usize, Instant)| {
-        faults
-            .stops
-            .iter()
-            .any(|(node, began, ended)| node == index && began <= when && when <= ended)
+    let is_cut = |(index, interrupted_at): &&(usize, Instant)| {
+        faults.stops.iter().any(|(node, stop_began, stop_ended)| {
+            node == index && stop_began <= interrupted_at && interrupted_at <= stop_ended
+        })
     };
     cut.iter().filter(is_cut).count() as u64
 }
 
-/// Counts accepted versions whose change the configuration does not show as
-/// accepted any more.
-async fn lost_versions(cluster: &TestCluster, accepted: &Accepted) -> u64 {
-    let highest = accepted
+/// Returns 1 if node 0 holds an older version than the newest accepted one, or 0.
+async fn count_lost_versions(cluster: &TestCluster, accepted: &Accepted) -> u64 {
+    let newest = accepted
         .iter()
         .map(|(version, _)| *version)
         .max()
         .unwrap_or_default();
-    let held = cluster.status(0).await["version"]
+    let current = cluster.status(0).await["version"]
         .as_u64()
         .unwrap_or_default();
-    u64::from(held < highest)
+    u64::from(current < newest)
 }
 
-fn convergence(views: &ViewLog, accepted: &Accepted, nodes: usize) -> Value {
+/// Returns percentiles, in milliseconds, of the time that nodes without a fault took to
+/// hold each accepted version.
+fn convergence_percentiles(views: &ViewLog, accepted: &Accepted, nodes: usize) -> Value {
     let mut times: Vec<u64> = Vec::new();
-    for (version, when) in accepted {
+    for (version, accepted_at) in accepted {
         for index in 0..nodes {
-            if let Some(took) = views.convergence_time(index, *version, *when) {
+            if let Some(took) = views.convergence_time(index, *version, *accepted_at) {
                 times.push(took.as_millis() as u64);
             }
         }
     }
     times.sort_unstable();
-    let at = |share: f64| -> u64 {
-        let index = ((times.len() as f64 * share) as usize).min(times.len().saturating_sub(1));
+    let percentile = |fraction: f64| -> u64 {
+        let index = ((times.len() as f64 * fraction) as usize).min(times.len().saturating_sub(1));
         times.get(index).copied().unwrap_or_default()
     };
-    json!({ "p50": at(0.5), "p99": at(0.99), "max": at(1.0) })
+    json!({ "p50": percentile(0.5), "p99": percentile(0.99), "max": percentile(1.0) })
 }
--- a/testing/src/experiment/faults.rs
+++ b/testing/src/experiment/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, alone and over each other, drawn from a seed.
+//! Injection of random faults, which may overlap, from a seed.
 
 use std::time::{Duration, Instant};
 
@@ -9,10 +9,10 @@
 use crate::cluster::TestCluster;
 use crate::experiment::observer::ViewLog;
 
-/// A fault and when it ends.
+/// A fault in force and the time at which it is undone.
 #[derive(Debug)]
-struct OpenFault {
-    ends: Instant,
+struct ActiveFault {
+    ends_at: Instant,
     kind: FaultKind,
 }
 
@@ -22,71 +22,73 @@
     FreezeNode(usize),
     StopNode(usize),
     KillTarget(usize),
-    KillPlace(usize),
-    LogOrder,
+    KillDataCentre(usize),
+    Log,
 }
 
-/// Draws faults and undoes them.
+/// Injects random faults into a cluster and undoes them after a random time.
 #[derive(Debug)]
 pub struct FaultInjector {
     rng: StdRng,
-    open: Vec<OpenFault>,
+    active: Vec<ActiveFault>,
     nodes: usize,
-    places: usize,
-    next: Instant,
-    /// Number of faults by name.
+    data_centres: usize,
+    next_fault_at: Instant,
+    /// Number of injected faults, by name.
     pub counts: std::collections::BTreeMap<&'static str, u32>,
-    /// Planned stops: the node, when it began and when it ended.
+    /// Planned stops of nodes: the node's index, and when the stop began and ended.
     pub stops: Vec<(usize, Instant, Instant)>,
-    /// Planned stops that did not end by themselves.
-    pub bad_stops: u32,
+    /// Number of planned stops after which the node didn't exit with status 0 within 60
+    /// seconds.
+    pub failed_stops: u32,
 }
 
 impl FaultInjector {
-    /// Returns a plan from a seed.
-    pub fn new(seed: u64, nodes: usize, places: usize) -> Self {
+    /// Returns an injector that draws its faults from `seed`.
+    pub fn new(seed: u64, nodes: usize, data_centres: usize) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
-            open: Vec::new(),
+            active: Vec::new(),
             nodes,
-            places,
-            next: Instant::now(),
+            data_centres,
+            next_fault_at: Instant::now(),
             counts: Default::default(),
             stops: Vec::new(),
-            bad_stops: 0,
+            failed_stops: 0,
         }
     }
 
-    /// Undoes the faults that are over and draws a new one when it is time.
+    /// Undoes the faults whose time is over, and injects a new one if it is due.
     pub async fn step(&mut self, cluster: &mut TestCluster, views: &ViewLog) -> Result<()> {
         let now = Instant::now();
-        self.undo(cluster, views, |fault| fault.ends <= now).await?;
-        if now < self.next {
+        self.undo_where(cluster, views, |fault| fault.ends_at <= now)
+            .await?;
+        if now < self.next_fault_at {
             return Ok(());
         }
-        self.next = now + Duration::from_millis(self.rng.random_range(100..900));
-        self.draw(cluster, views).await
+        self.next_fault_at = now + Duration::from_millis(self.rng.random_range(100..900));
+        self.inject(cluster, views).await
     }
 
     /// Undoes all faults.
     pub async fn undo_all(&mut self, cluster: &mut TestCluster, views: &ViewLog) -> Result<()> {
-        self.undo(cluster, views, |_| true).await
+        self.undo_where(cluster, views, |_| true).await
     }
 
-    async fn undo<F>(
+    async fn undo_where<F>(
         &mut self,
         cluster: &mut TestCluster,
         views: &ViewLog,
-        is_over: F,
+        is_expired: F,
     ) -> Result<()>
     where
-        F: Fn(&OpenFault) -> bool,
+        F: Fn(&ActiveFault) -> bool,
     {
-        let (over, open) = std::mem::take(&mut self.open)
+        let (expired, active) = std::mem::take(&mut self.active)
             .into_iter()
-            .partition(is_over);
-        self.open = open;
-        for fault in over {
+            .partition(is_expired);
+        self.active = active;
+        for fault in expired {
             match fault.kind {
                 FaultKind::KillNode(index) | FaultKind::StopNode(index) => {
                     cluster.start_node(index)?;
@@ -97,113 +99,120 @@
                     views.record_up(index);
                 }
                 FaultKind::KillTarget(index) => start_target(cluster, index)?,
-                FaultKind::KillPlace(place) => {
-                    for index in self.nodes_of(place) {
+                FaultKind::KillDataCentre(data_centre) => {
+                    for index in self.nodes_of(data_centre) {
                         cluster.start_node(index)?;
                         views.record_up(index);
                     }
                 }
-                FaultKind::LogOrder => cluster.set_log_behaviour("{}").await?,
+                FaultKind::Log => cluster.set_log_behaviour("{}").await?,
             }
         }
         Ok(())
     }
 
-    async fn draw(&mut self, cluster: &mut TestCluster, views: &ViewLog) -> Result<()> {
+    /// Injects a random fault, or none if an active fault already affects the chosen node,
+    /// data centre or log.
+    async fn inject(&mut self, cluster: &mut TestCluster, views: &ViewLog) -> Result<()> {
         let index = self.rng.random_range(0..self.nodes);
-        let lasts = Duration::from_millis(self.rng.random_range(200..3_000));
-        let is_touched = self.is_touched(index);
-        let place = index % self.places;
-        let is_place_touched = self.nodes_of(place).any(|index| self.is_touched(index));
-        let has_order = self
-            .open
+        let duration = Duration::from_millis(self.rng.random_range(200..3_000));
+        let is_affected = self.is_affected(index);
+        let data_centre = index % self.data_centres;
+        let is_data_centre_affected = self
+            .nodes_of(data_centre)
+            .any(|index| self.is_affected(index));
+        let has_log_fault = self
+            .active
             .iter()
-            .any(|fault| matches!(fault.kind, FaultKind::LogOrder));
-        let draw = self.rng.random_range(0..11_u8);
-        let kind = match draw {
-            0 | 1 if !is_touched => {
+            .any(|fault| matches!(fault.kind, FaultKind::Log));
+        let choice = self.rng.random_range(0..11_u8);
+        let kind = match choice {
+            0 | 1 if !is_affected => {
                 views.record_down(index);
                 cluster.kill_node(index);
                 self.count("kill node", FaultKind::KillNode(index))
             }
-            2 | 3 if !is_touched => {
+            2 | 3 if !is_affected => {
                 views.record_down(index);
                 cluster.node_process(index).send_signal("STOP");
                 self.count("freeze node", FaultKind::FreezeNode(index))
             }
-            4 if !is_touched => {
+            4 if !is_affected => {
                 self.stop_node(cluster, views, index).await?;
                 self.count("planned stop", FaultKind::StopNode(index))
             }
-            5 if !is_touched => {
+            5 if !is_affected => {
                 cluster.kill_target(index);
                 self.count("kill target", FaultKind::KillTarget(index))
             }
-            10 if !is_place_touched => {
-                for index in self.nodes_of(place) {
+            10 if !is_data_centre_affected => {
+                for index in self.nodes_of(data_centre) {
                     views.record_down(index);
                     cluster.kill_node(index);
                 }
-                self.count("kill data centre", FaultKind::KillPlace(place))
+                self.count("kill data centre", FaultKind::KillDataCentre(data_centre))
             }
-            6..=9 if !has_order => {
+            6..=9 if !has_log_fault => {
                 let is_hanging = self.rng.random_bool(0.5);
-                let order = match draw {
+                let behaviour = match choice {
                     6 if is_hanging => r#"{"hang":true}"#,
                     6 => r#"{"outage":true}"#,
                     7 => r#"{"lose_answers":3}"#,
                     8 => r#"{"late_appends":2,"late_ms":400}"#,
                     _ => r#"{"delay_ms":300}"#,
                 };
-                cluster.set_log_behaviour(order).await?;
+                cluster.set_log_behaviour(behaviour).await?;
                 let names = [
                     "log outage",
                     "log loses answers",
                     "log is late",
                     "log is slow",
                 ];
-                self.count(names[usize::from(draw) - 6], FaultKind::LogOrder)
+                self.count(names[usize::from(choice) - 6], FaultKind::Log)
             }
             _ => return Ok(()),
         };
-        self.open.push(OpenFault {
-            ends: Instant::now() + lasts,
+        self.active.push(ActiveFault {
+            ends_at: Instant::now() + duration,
             kind,
         });
         Ok(())
     }
 
-    /// Returns the nodes of a data centre, numbered as the cluster does.
-    fn nodes_of(&self, place: usize) -> impl Iterator<Item = usize> + use<> {
-        (place..self.nodes).step_by(self.places)
+    /// Returns the indices of the nodes of a data centre, in the cluster's numbering.
+    fn nodes_of(&self, data_centre: usize) -> impl Iterator<Item = usize> + use<> {
+        (data_centre..self.nodes).step_by(self.data_centres)
     }
 
-    fn is_touched(&self, index: usize) -> bool {
-        self.open.iter().any(|fault| match fault.kind {
+    /// Returns `true` if an active fault affects a node or its target.
+    fn is_affected(&self, index: usize) -> bool {
+        self.active.iter().any(|fault| match fault.kind {
             FaultKind::KillNode(other)
             | FaultKind::FreezeNode(other)
             | FaultKind::StopNode(other)
             | FaultKind::KillTarget(other) => other == index,
-            FaultKind::KillPlace(place) => index % self.places == place,
-            FaultKind::LogOrder => false,
+            FaultKind::KillDataCentre(data_centre) => index % self.data_centres == data_centre,
+            FaultKind::Log => false,
         })
     }
 
+    /// Stops a node with `SIGTERM` and records whether it exited as planned.
     async fn stop_node(
         &mut self,
         cluster: &mut TestCluster,
         views: &ViewLog,
         index: usize,
     ) -> Result<()> {
-        // A process that has not opened its ports yet has no call to cut and
-        // no handler for the signal either; it ends by it.
+        // A process that doesn't listen yet has no signal handler either, so the
+        // signal would kill it and count as a failed stop. It has no calls that could
+        // be cut.
         cluster.wait_node_listening(index).await?;
         let began = Instant::now();
         cluster.node_process(index).send_signal("TERM");
         let ended =
             tokio::time::timeout(Duration::from_secs(60), cluster.node_process(index).wait()).await;
         if !matches!(ended, Ok(Ok(0))) {
-            self.bad_stops += 1;
+            self.failed_stops += 1;
         }
         views.record_down(index);
         self.stops.push((index, began, Instant::now()));
@@ -211,13 +220,15 @@
         Ok(())
     }
 
+    /// Counts a fault under a name and returns its kind.
     fn count(&mut self, name: &'static str, kind: FaultKind) -> FaultKind {
         *self.counts.entry(name).or_default() += 1;
         kind
     }
 }
 
-/// Starts the target beside a node: portal on even nodes, dispatch on odd ones.
+/// Starts the target that a node announces, of the service `portal` on even nodes and
+/// `dispatch` on odd ones.
 pub fn start_target(cluster: &mut TestCluster, index: usize) -> Result<()> {
     let service = if index.is_multiple_of(2) {
         "portal"
--- a/testing/src/experiment/latency.rs
+++ b/testing/src/experiment/latency.rs
@@ -1,5 +1,5 @@
-//! The time that the mesh adds to a call: through two nodes against straight
-//! to the target, in one run.
+//! Latency that the mesh adds to a call: calls through one node and through two nodes,
+//! compared with calls sent directly to the target in the same run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,29 +13,32 @@
 use crate::client::HttpConnection;
 use crate::cluster::{ClusterPlan, TestCluster};
 
-/// How the run is made.
+/// Options of a latency run.
 #[derive(Debug, Options)]
 pub struct LatencyOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "seconds of each part", default = "5")]
+    #[options(help = "seconds of measurement for each path", default = "5")]
     seconds: u64,
-    #[options(help = "callers, each with one call under way", default = "1")]
+    #[options(
+        help = "number of callers, each with one call in flight",
+        default = "1"
+    )]
     callers: usize,
     #[options(
-        help = "calls a second of all callers; 0 for as many as go",
+        help = "calls per second of all callers; 0 for no limit",
         default = "200"
     )]
     rate: u64,
-    #[options(help = "bytes of an answer", default = "1024")]
+    #[options(help = "bytes of each answer", default = "1024")]
     answer_bytes: u64,
-    #[options(help = "calls with an idempotency key instead of reads")]
+    #[options(help = "send writes with an idempotency key instead of reads")]
     keyed: bool,
-    #[options(help = "level of the nodes' log lines", default = "info")]
+    #[options(help = "log level of the nodes: info or warn", default = "info")]
     level: String,
 }
 
-/// Runs and prints the table.
+/// Runs the experiment and prints the table.
 pub async fn run(options: LatencyOptions) -> Result<bool> {
     let level = if options.level == "info" {
         "info"
@@ -59,78 +62,83 @@
         ("two nodes", cluster.ingress(1)),
     ];
     println!("path,calls a second,p50 us,p99 us,p99.9 us,failed");
-    // Two rounds; the first warms up connections and caches.
+    // The first round isn't printed; it warms up connections and caches.
     for (name, address) in paths {
         measure(address, &options, Duration::from_secs(1)).await?;
         let seconds = Duration::from_secs(options.seconds);
-        let (times, failed) = measure(address, &options, seconds).await?;
+        let (latencies, failed) = measure(address, &options, seconds).await?;
         println!(
             "{name},{:.0},{},{},{},{failed}",
-            times.len() as f64 / seconds.as_secs_f64(),
-            times.value_at_quantile(0.5),
-            times.value_at_quantile(0.99),
-            times.value_at_quantile(0.999),
+            latencies.len() as f64 / seconds.as_secs_f64(),
+            latencies.value_at_quantile(0.5),
+            latencies.value_at_quantile(0.99),
+            latencies.value_at_quantile(0.999),
         );
     }
     cluster.remove_folder();
     Ok(true)
 }
 
+/// Calls an address for `duration` and returns the latencies in microseconds and the number
+/// of failed calls.
 async fn measure(
     address: SocketAddr,
     options: &LatencyOptions,
-    time: Duration,
+    duration: Duration,
 ) -> Result<(Histogram<u64>, u64)> {
-    let until = Instant::now() + time;
+    let deadline = Instant::now() + duration;
     let callers = options.callers.max(1) as u64;
-    let pause = match options.rate {
+    let interval = match options.rate {
         0 => Duration::ZERO,
         rate => Duration::from_secs(callers) / u32::try_from(rate)?,
     };
-    let size = Arc::new(options.answer_bytes.to_string());
+    let answer_bytes = Arc::new(options.answer_bytes.to_string());
     let is_keyed = options.keyed;
     let mut tasks = tokio::task::JoinSet::new();
     for caller in 0..callers {
-        let size = Arc::clone(&size);
-        tasks
-            .spawn(async move { call_until(address, until, pause, caller, &size, is_keyed).await });
+        let answer_bytes = Arc::clone(&answer_bytes);
+        tasks.spawn(async move {
+            call_until(address, deadline, interval, caller, &answer_bytes, is_keyed).await
+        });
     }
-    let mut all = Histogram::new(3)?;
+    let mut all_latencies = Histogram::new(3)?;
     let mut failed = 0;
-    while let Some(done) = tasks.join_next().await {
-        let (times, bad) = done??;
-        all.add(&times)?;
-        failed += bad;
+    while let Some(result) = tasks.join_next().await {
+        let (latencies, task_failures) = result??;
+        all_latencies.add(&latencies)?;
+        failed += task_failures;
     }
-    Ok((all, failed))
+    Ok((all_latencies, failed))
 }
 
+/// Makes one caller's calls until `deadline`, one every `interval`, and returns their
+/// latencies in microseconds and the number of failed calls.
 async fn call_until(
     address: SocketAddr,
-    until: Instant,
-    pause: Duration,
+    deadline: Instant,
+    interval: Duration,
     caller: u64,
-    size: &str,
+    answer_bytes: &str,
     is_keyed: bool,
 ) -> Result<(Histogram<u64>, u64)> {
-    let mut link = HttpConnection::open(address).await?;
-    let mut times = Histogram::new(3)?;
+    let mut connection = HttpConnection::open(address).await?;
+    let mut latencies = Histogram::new(3)?;
     let mut failed = 0;
-    // Callers start apart, so that they do not call in step.
-    let mut next = Instant::now() + pause.mul_f64(caller as f64 / 64.0);
-    while Instant::now() < until {
-        tokio::time::sleep_until(next.into()).await;
-        next += pause;
+    // Callers start at different times, so that they don't call in lockstep.
+    let mut next_call_at = Instant::now() + interval.mul_f64(caller as f64 / 64.0);
+    while Instant::now() < deadline {
+        tokio::time::sleep_until(next_call_at.into()).await;
+        next_call_at += interval;
         let key = format!("{:032x}", rand::random::<u128>());
-        let mut headers = vec![("x-answer-bytes", size)];
+        let mut headers = vec![("x-answer-bytes", answer_bytes)];
         if is_keyed {
             headers.push(("idempotency-key", &key));
         }
         let method = if is_keyed { "POST" } else { "GET" };
-        let began = Instant::now();
-        let reply = link.send(method, "/portal", &headers, b"").await?;
-        times.record(began.elapsed().as_micros() as u64)?;
+        let sent_at = Instant::now();
+        let reply = connection.send(method, "/portal", &headers, b"").await?;
+        latencies.record(sent_at.elapsed().as_micros() as u64)?;
         failed += u64::from(reply.status != 200);
     }
-    Ok((times, failed))
+    Ok((latencies, failed))
 }
--- a/testing/src/experiment/mod.rs
+++ b/testing/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments over a mesh of real processes.
+//! Experiments with a mesh of real processes.
 
 pub mod callers;
 pub mod chaos;
--- a/testing/src/experiment/observer.rs
+++ b/testing/src/experiment/observer.rs
@@ -1,5 +1,6 @@
-//! Watches every node's view: versions that fall, references that dangle, and
-//! how long a change takes to be in force everywhere.
+//! Polls every node for the configuration that it holds, to detect versions that
+//! decrease and references to missing services, and to measure how long a change takes
+//! to reach the nodes.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,66 +12,68 @@
 
 use crate::client;
 
-/// Pause between two looks at a node.
-const STEP: Duration = Duration::from_millis(10);
+/// Interval between two requests to a node.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What was seen of all nodes.
+/// What was observed of all nodes.
 #[derive(Debug)]
 pub struct ViewLog {
-    /// Highest version seen at each node, with when it was reached.
+    /// For each node, each new highest version and the time at which it was first seen.
     pub versions: Mutex<Vec<Vec<(u64, Instant)>>>,
-    /// Versions that fell.
+    /// Decreases of a node's version.
     pub regressions: Mutex<Vec<String>>,
-    /// Routes that named a service which the view did not hold.
-    pub dangling: Mutex<Vec<String>>,
-    /// Nodes that a fault holds down, which cannot converge meanwhile.
-    pub down: Mutex<Vec<Option<Instant>>>,
-    /// Times at which nodes came back.
-    pub back: Mutex<Vec<Instant>>,
+    /// Services that a route names although the node's configuration doesn't have them.
+    pub missing_services: Mutex<Vec<String>>,
+    /// For each node, since when a fault has kept it down, in which time it can't
+    /// converge.
+    pub down_since: Mutex<Vec<Option<Instant>>>,
+    /// For each node, when its last fault ended, or when the log was created.
+    pub up_since: Mutex<Vec<Instant>>,
 }
 
 impl ViewLog {
-    /// Returns a log for a number of nodes.
+    /// Returns an empty log for a number of nodes, all of them up.
     pub fn new(nodes: usize) -> Self {
         let now = Instant::now();
         Self {
             versions: Mutex::new(vec![Vec::new(); nodes]),
             regressions: Mutex::default(),
-            dangling: Mutex::default(),
-            down: Mutex::new(vec![None; nodes]),
-            back: Mutex::new(vec![now; nodes]),
+            missing_services: Mutex::default(),
+            down_since: Mutex::new(vec![None; nodes]),
+            up_since: Mutex::new(vec![now; nodes]),
         }
     }
 
-    /// Notes that a fault holds a node down.
+    /// Records that a fault takes a node down.
     pub fn record_down(&self, index: usize) {
-        self.down.lock().expect("no panic")[index] = Some(Instant::now());
+        self.down_since.lock().expect("no panic")[index] = Some(Instant::now());
     }
 
-    /// Notes that a node is back.
+    /// Records that a node is up again.
     pub fn record_up(&self, index: usize) {
-        self.back.lock().expect("no panic")[index] = Instant::now();
-        self.down.lock().expect("no panic")[index] = None;
+        self.up_since.lock().expect("no panic")[index] = Instant::now();
+        self.down_since.lock().expect("no panic")[index] = None;
     }
 
     /// Returns how long a node took to hold a version that was accepted at
-    /// `accepted`; nothing when a fault held the node down meanwhile.
+    /// `accepted_at`, or `None` if it never did or if a fault has kept the node down at
+    /// any time since.
     pub fn convergence_time(
         &self,
         index: usize,
         version: u64,
-        accepted: Instant,
+        accepted_at: Instant,
     ) -> Option<Duration> {
-        let held = self.versions.lock().expect("no panic");
-        let (_, when) = held[index].iter().find(|(seen, _)| *seen >= version)?;
-        let back = self.back.lock().expect("no panic")[index];
-        let is_down = self.down.lock().expect("no panic")[index].is_some();
-        (!is_down && back < accepted).then(|| when.saturating_duration_since(accepted))
+        let versions = self.versions.lock().expect("no panic");
+        let (_, seen_at) = versions[index].iter().find(|(seen, _)| *seen >= version)?;
+        let up_since = self.up_since.lock().expect("no panic")[index];
+        let is_down = self.down_since.lock().expect("no panic")[index].is_some();
+        (!is_down && up_since < accepted_at).then(|| seen_at.saturating_duration_since(accepted_at))
     }
 }
 
-/// Looks at one node until told to stop. A node that is not ready shows no
-/// view to callers, so only views of ready nodes count.
+/// Polls one node until `stop` is set. Statuses of a node that is still starting are
+/// ignored, because it doesn't serve its configuration to callers yet.
 pub async fn observe_node(
     admin: SocketAddr,
     index: usize,
@@ -78,11 +81,11 @@
     stop: Arc<AtomicBool>,
 ) {
     let mut highest = 0;
-    let mut looks = 0_u32;
+    let mut statuses_seen = 0_u32;
     while !stop.load(Ordering::Relaxed) {
-        tokio::time::sleep(STEP).await;
-        let looked = tokio::time::timeout(Duration::from_secs(1), look(admin)).await;
-        let Ok(Some(status)) = looked else {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let response = tokio::time::timeout(Duration::from_secs(1), fetch_status(admin)).await;
+        let Ok(Some(status)) = response else {
             continue;
         };
         let version = status["version"].as_u64().unwrap_or_default();
@@ -97,37 +100,40 @@
             highest = version;
             log.versions.lock().expect("no panic")[index].push((version, Instant::now()));
         }
-        looks += 1;
-        if looks.is_multiple_of(10) {
+        statuses_seen += 1;
+        if statuses_seen.is_multiple_of(10) {
             check_references(admin, index, &log).await;
         }
     }
 }
 
-async fn look(admin: SocketAddr) -> Option<Value> {
+/// Returns the node's status, or `None` if it doesn't answer.
+async fn fetch_status(admin: SocketAddr) -> Option<Value> {
     Some(client::get(admin, "/v1/status").await.ok()?.json())
 }
 
+/// Records each service that a route of the node names but that the node's
+/// configuration doesn't have.
 async fn check_references(admin: SocketAddr, index: usize, log: &ViewLog) {
-    let looked =
+    let response =
         tokio::time::timeout(Duration::from_secs(1), client::get(admin, "/v1/resources")).await;
-    let Ok(Ok(reply)) = looked else {
+    let Ok(Ok(reply)) = response else {
         return;
     };
     let reply = reply.json();
     let resources = reply["resources"].as_array().cloned().unwrap_or_default();
-    let names: HashSet<&str> = resources
+    let service_names: HashSet<&str> = resources
         .iter()
-        .filter(|held| held["resource"]["kind"] == "service")
-        .filter_map(|held| held["resource"]["name"].as_str())
+        .filter(|entry| entry["resource"]["kind"] == "service")
+        .filter_map(|entry| entry["resource"]["name"].as_str())
         .collect();
-    for held in &resources {
-        let services = held["resource"]["services"].as_array();
+    for entry in &resources {
+        let services = entry["resource"]["services"].as_array();
         for service in services.into_iter().flatten() {
             let name = service["service"].as_str().unwrap_or_default();
-            if !names.contains(name) {
+            if !service_names.contains(name) {
                 let text = format!("node {index}: service/{name}");
-                log.dangling.lock().expect("no panic").push(text);
+                log.missing_services.lock().expect("no panic").push(text);
             }
         }
     }
--- a/testing/src/experiment/scale.rs
+++ b/testing/src/experiment/scale.rs
@@ -1,6 +1,6 @@
-//! What a node costs when it knows as many services and members as the users
-//! expect: the member table is filled over the peer port with members of other
-//! data centres, which do not exist.
+//! Resource use of a node that knows as many services and members as the users expect.
+//! Only a few nodes run; the other members are made up, placed in other data centres and
+//! written into the member table through the peer port.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -25,23 +25,26 @@
 use crate::experiment::cost::{NodeCost, print_costs, read_costs};
 use crate::experiment::spread::add_services;
 
-/// Nodes that run.
+/// Number of nodes that run.
 const NODES: usize = 4;
 
-/// How the run is made.
+/// Options of a scale run.
 #[derive(Debug, Options)]
 pub struct ScaleOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "members in all", default = "1100")]
+    #[options(
+        help = "total number of members, including the nodes that run",
+        default = "1100"
+    )]
     members: usize,
-    #[options(help = "seconds of each part", default = "10")]
+    #[options(help = "seconds of measurement in each phase", default = "10")]
     seconds: u64,
-    #[options(help = "member updates a second in the last part", default = "10")]
+    #[options(help = "member updates per second in the last phase", default = "10")]
     updates: u32,
 }
 
-/// Runs and prints the table.
+/// Runs the experiment and prints the table.
 pub async fn run(options: ScaleOptions) -> Result<bool> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: NODES,
@@ -50,86 +53,94 @@
         ..ClusterPlan::default()
     })
     .await?;
-    let time = Duration::from_secs(options.seconds);
-    phase(&cluster, "empty", time).await?;
+    let duration = Duration::from_secs(options.seconds);
+    measure_phase(&cluster, "empty", duration).await?;
     add_services(&cluster).await?;
-    phase(&cluster, "170 services", time).await?;
+    measure_phase(&cluster, "170 services", duration).await?;
 
     let before = read_costs(&cluster, NODES).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let records: Vec<MemberRecord> = (NODES..options.members)
-        .map(|number| member(number, 1))
+        .map(|number| fake_member(number, 1))
         .collect();
-    inject(cluster.peer(0), &records).await?;
+    exchange_records(cluster.peer(0), &records).await?;
     for index in 0..NODES {
         wait_members(&cluster, index, options.members).await?;
     }
     println!(
         "all know {} members,seconds {:.2}",
         options.members,
-        began.elapsed().as_secs_f64()
+        started_at.elapsed().as_secs_f64()
     );
-    print_sum(
+    print_traffic(
         "spreading the members",
         &before,
         &read_costs(&cluster, NODES).await,
     );
     tokio::time::sleep(Duration::from_secs(5)).await;
-    phase(&cluster, "170 services and all members", time).await?;
+    measure_phase(&cluster, "170 services and all members", duration).await?;
 
-    restart(&mut cluster, options.members).await?;
-    update(&cluster, &options).await?;
+    measure_restart(&mut cluster, options.members).await?;
+    measure_updates(&cluster, &options).await?;
     cluster.remove_folder();
     Ok(true)
 }
 
-async fn phase(cluster: &TestCluster, name: &str, time: Duration) -> Result<()> {
+/// Waits for `duration` and prints what the nodes used in it.
+async fn measure_phase(cluster: &TestCluster, name: &str, duration: Duration) -> Result<()> {
     let before = read_costs(cluster, NODES).await;
-    let began = Instant::now();
-    tokio::time::sleep(time).await;
+    let started_at = Instant::now();
+    tokio::time::sleep(duration).await;
     let after = read_costs(cluster, NODES).await;
-    print_costs(name, &before, &after, began.elapsed().as_secs_f64());
+    print_costs(name, &before, &after, started_at.elapsed().as_secs_f64());
     Ok(())
 }
 
-/// Restarts one node and prints what its return costs.
-async fn restart(cluster: &mut TestCluster, members: usize) -> Result<()> {
+/// Restarts one node and prints the time and traffic until it knows all members again.
+async fn measure_restart(cluster: &mut TestCluster, members: usize) -> Result<()> {
     let last = NODES - 1;
     cluster.kill_node(last);
     let mut before = read_costs(cluster, NODES).await;
     before[last] = NodeCost::default();
-    let began = Instant::now();
+    let started_at = Instant::now();
     cluster.start_node(last)?;
     cluster.wait_node_ready(last).await?;
     println!(
         "restart,seconds until ready,{:.3}",
-        began.elapsed().as_secs_f64()
+        started_at.elapsed().as_secs_f64()
     );
     wait_members(cluster, last, members).await?;
-    print_sum("restart", &before, &read_costs(cluster, NODES).await);
+    print_traffic("restart", &before, &read_costs(cluster, NODES).await);
     Ok(())
 }
 
-/// Spreads updates of members one after the other, as restarts would.
-async fn update(cluster: &TestCluster, options: &ScaleOptions) -> Result<()> {
+/// Sends updates of single members at a fixed rate, as restarts of nodes would cause
+/// them, and prints what the nodes used meanwhile.
+async fn measure_updates(cluster: &TestCluster, options: &ScaleOptions) -> Result<()> {
     let before = read_costs(cluster, NODES).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let count = u64::from(options.updates) * options.seconds;
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
     for number in 0..count {
-        let place = NODES + number as usize % (options.members - NODES);
-        push(&socket, cluster.peer(0), member(place, 2 + number)).await?;
+        let member_number = NODES + number as usize % (options.members - NODES);
+        push_record(
+            &socket,
+            cluster.peer(0),
+            fake_member(member_number, 2 + number),
+        )
+        .await?;
         tokio::time::sleep(Duration::from_secs(1) / options.updates).await;
     }
-    let name = format!("{} updates a second", options.updates);
+    let phase = format!("{} updates a second", options.updates);
     let after = read_costs(cluster, NODES).await;
-    print_costs(&name, &before, &after, began.elapsed().as_secs_f64());
+    print_costs(&phase, &before, &after, started_at.elapsed().as_secs_f64());
     Ok(())
 }
 
-fn member(number: usize, sequence: u64) -> MemberRecord {
-    // The first data centre is that of the nodes that run.
-    let (region, place) = DATA_CENTRES[1 + number % (DATA_CENTRES.len() - 1)];
+/// Returns the record of a made-up member with one target.
+fn fake_member(number: usize, sequence: u64) -> MemberRecord {
+    // The nodes that run are in the first data centre.
+    let (region, data_centre) = DATA_CENTRES[1 + number % (DATA_CENTRES.len() - 1)];
     let [high, low] = (number as u16).to_be_bytes();
     let address = SocketAddr::from(([127, 255, high, low], 7083));
     MemberRecord {
@@ -138,7 +149,7 @@
         sequence: Sequence(sequence),
         state: MemberState::Alive,
         region: region.parse().expect("a name"),
-        data_centre: place.parse().expect("a name"),
+        data_centre: data_centre.parse().expect("a name"),
         hop: address,
         link: LinkRate::default(),
         is_ready: true,
@@ -152,8 +163,8 @@
     }
 }
 
-/// Gives records to a node as a peer would.
-async fn inject(peer: SocketAddr, records: &[MemberRecord]) -> Result<()> {
+/// Sends records to a node in a full exchange, as a peer would.
+async fn exchange_records(peer: SocketAddr, records: &[MemberRecord]) -> Result<()> {
     let keys = MeshKeys::derive([MESH_SECRET]);
     let mut stream = TcpStream::connect(peer).await?;
     handshake::connect(&mut stream, &keys, PortKind::Peer).await?;
@@ -170,8 +181,8 @@
     }
 }
 
-/// Pushes one record to a node as a relay would.
-async fn push(socket: &UdpSocket, peer: SocketAddr, record: MemberRecord) -> Result<()> {
+/// Sends one record to a node in a datagram, as a relay would.
+async fn push_record(socket: &UdpSocket, peer: SocketAddr, record: MemberRecord) -> Result<()> {
     let datagram = Datagram::Rumors {
         rumors: vec![Rumor::Member(record)],
     };
@@ -180,6 +191,7 @@
     Ok(())
 }
 
+/// Waits until a node knows `members` live members.
 async fn wait_members(cluster: &TestCluster, index: usize, members: usize) -> Result<()> {
     cluster
         .wait_for("a node to know all members", async || {
@@ -188,13 +200,14 @@
         .await
 }
 
-fn print_sum(name: &str, before: &[NodeCost], after: &[NodeCost]) {
+/// Prints the bytes that all nodes together have sent between two readings.
+fn print_traffic(name: &str, before: &[NodeCost], after: &[NodeCost]) {
     for kind in ["AntiEntropy", "Transfer", "Push", "Probe"] {
-        let sum: f64 = before
+        let total: f64 = before
             .iter()
             .zip(after)
             .map(|(before, after)| after.bytes_sent(kind) - before.bytes_sent(kind))
             .sum();
-        println!("{name},bytes sent by all: {kind},{sum:.0}");
+        println!("{name},bytes sent by all: {kind},{total:.0}");
     }
 }
--- a/testing/src/experiment/spread.rs
+++ b/testing/src/experiment/spread.rs
@@ -1,7 +1,7 @@
-//! Convergence time and control bytes of a mesh of some size.
+//! Convergence time and control traffic of a mesh with a given number of nodes.
 //!
-//! Times come from the nodes' own log lines (`event=folded`), so that looking
-//! does not cost the nodes what is measured.
+//! The times at which nodes apply a change are taken from their own log lines
+//! (`event=folded`), so that polling doesn't add load to the nodes that are measured.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 use crate::cluster::{ClusterPlan, DATA_CENTRES, TestCluster};
 use crate::experiment::cost::{print_costs, read_costs};
 
-/// How the run is made.
+/// Options of a convergence run.
 #[derive(Debug, Options)]
 pub struct SpreadOptions {
     #[options(help = "print this help")]
@@ -26,21 +26,21 @@
     #[options(help = "milliseconds between changes", default = "500")]
     every_ms: u64,
     #[options(
-        help = "seconds of idling over which bytes are counted",
+        help = "seconds without changes over which bytes are counted",
         default = "10"
     )]
     idle_s: u64,
-    #[options(help = "kill a relay after each fourth change")]
+    #[options(help = "kill a relay after every fourth change")]
     kill_relays: bool,
-    #[options(help = "restart all nodes at once and time their return")]
+    #[options(help = "restart all nodes at once and measure the time until they are ready")]
     herd: bool,
-    #[options(help = "put 170 services and routes in place first")]
+    #[options(help = "configure 170 services and routes first")]
     full: bool,
-    #[options(help = "lines for the nodes' tuning, separated by ;")]
+    #[options(help = "lines for the [tuning] table of all nodes, separated by ;")]
     tuning: String,
 }
 
-/// Runs and prints the table.
+/// Runs the experiment and prints the table.
 pub async fn run(options: SpreadOptions) -> Result<bool> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: options.nodes,
@@ -53,32 +53,33 @@
     if options.full {
         add_services(&cluster).await?;
     }
-    let settle = Duration::from_secs(3);
-    tokio::time::sleep(settle).await;
+    let settle_time = Duration::from_secs(3);
+    tokio::time::sleep(settle_time).await;
     let before = read_costs(&cluster, options.nodes).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     tokio::time::sleep(Duration::from_secs(options.idle_s)).await;
-    let idle = began.elapsed().as_secs_f64();
+    let idle_seconds = started_at.elapsed().as_secs_f64();
     let after = read_costs(&cluster, options.nodes).await;
     println!("nodes,{}", options.nodes);
-    print_costs("idle", &before, &after, idle);
+    print_costs("idle", &before, &after, idle_seconds);
 
-    let began = Instant::now();
-    let times = change(&mut cluster, &options).await?;
-    let took = began.elapsed().as_secs_f64();
-    let busy = read_costs(&cluster, options.nodes).await;
+    let started_at = Instant::now();
+    let convergence_ms = submit_changes(&mut cluster, &options).await?;
+    let changes_elapsed = started_at.elapsed().as_secs_f64();
+    let after_changes = read_costs(&cluster, options.nodes).await;
     if !options.kill_relays {
-        print_costs("changes", &after, &busy, took);
+        print_costs("changes", &after, &after_changes, changes_elapsed);
     }
-    print_times(&times);
+    print_convergence(&convergence_ms);
     if options.herd {
-        herd(&mut cluster, options.nodes).await?;
+        restart_all(&mut cluster, options.nodes).await?;
     }
     cluster.remove_folder();
     Ok(true)
 }
 
-/// Puts 170 services with a route each in place.
+/// Configures 170 services with one route each, and waits until all nodes have applied
+/// them.
 pub async fn add_services(cluster: &TestCluster) -> Result<()> {
     for batch in 0..17 {
         let mut operations = Vec::new();
@@ -95,8 +96,9 @@
     Ok(())
 }
 
-/// Applies changes and returns for each node and version how long it took.
-async fn change(cluster: &mut TestCluster, options: &SpreadOptions) -> Result<Vec<f64>> {
+/// Submits changes and returns, in milliseconds, how long each node took to apply each of
+/// them.
+async fn submit_changes(cluster: &mut TestCluster, options: &SpreadOptions) -> Result<Vec<f64>> {
     let mut accepted = Vec::new();
     let mut killed = Vec::new();
     for number in 0..options.changes {
@@ -104,9 +106,9 @@
         let index = if killed.contains(&index) { 0 } else { index };
         let service = json!([{ "put": { "kind": "service", "name": "spread",
             "permit": ["127.0.0.0/8"], "max_slots": 1 + number } }]);
-        let sent = std::time::SystemTime::now();
+        let submitted_at = std::time::SystemTime::now();
         let version = cluster.apply_accepted(index, service).await?;
-        accepted.push((version, sent));
+        accepted.push((version, submitted_at));
         if options.kill_relays && number % 4 == 2 {
             for index in killed.drain(..) {
                 cluster.start_node(index)?;
@@ -117,26 +119,30 @@
         tokio::time::sleep(Duration::from_millis(options.every_ms)).await;
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let mut times = Vec::new();
+    let mut convergence_ms = Vec::new();
     for index in 0..options.nodes {
         let output = std::fs::read_to_string(cluster.output_path(index))?;
-        let folded = fold_times(&output);
-        for (version, sent) in &accepted {
-            match folded.get(version) {
-                Some(when) => {
-                    let sent = sent.duration_since(std::time::UNIX_EPOCH)?.as_secs_f64();
-                    times.push((when - sent) * 1_000.0);
+        let apply_times = parse_apply_times(&output);
+        for (version, submitted_at) in &accepted {
+            match apply_times.get(version) {
+                Some(applied_at) => {
+                    let submitted_at = submitted_at
+                        .duration_since(std::time::UNIX_EPOCH)?
+                        .as_secs_f64();
+                    convergence_ms.push((applied_at - submitted_at) * 1_000.0);
                 }
-                // A node that was down got it in a snapshot or a tail.
+                // A node that was down may have received the version as part of a
+                // snapshot or of a range of records, without a line of its own.
                 None if options.kill_relays => {}
                 None => println!("missing,node {index} version {version}"),
             }
         }
     }
-    Ok(times)
+    Ok(convergence_ms)
 }
 
-/// Kills the relay that is first asked, never node 0, which writes changes.
+/// Kills the first relay by index and returns its index. Node 0 is left out, because
+/// changes are submitted to it.
 async fn kill_relay(cluster: &mut TestCluster, nodes: usize) -> Option<usize> {
     for index in 1..nodes {
         if cluster.status(index).await["relay"] == json!(true) {
@@ -147,94 +153,100 @@
     None
 }
 
-/// Returns when each version was folded, in seconds since the Unix epoch.
-fn fold_times(output: &str) -> HashMap<u64, f64> {
-    let mut times = HashMap::new();
+/// Returns when a node applied each version, in seconds since the Unix epoch, from its
+/// log output.
+fn parse_apply_times(output: &str) -> HashMap<u64, f64> {
+    let mut apply_times = HashMap::new();
     for line in output.lines().filter(|line| line.contains("event=folded")) {
         let field = |name: &str| {
             let start = line.find(name)? + name.len();
             line[start..].split(' ').next()
         };
         let version = field("version=").and_then(|text| text.parse().ok());
-        let when = field("timestamp=").and_then(seconds_of);
-        if let (Some(version), Some(when)) = (version, when) {
-            times.entry(version).or_insert(when);
+        let applied_at = field("timestamp=").and_then(unix_seconds);
+        if let (Some(version), Some(applied_at)) = (version, applied_at) {
+            apply_times.entry(version).or_insert(applied_at);
         }
     }
-    times
+    apply_times
 }
 
-/// Parses `2026-12-04T06:38:08.021759+00:00`; the days since 1970 by the usual
-/// calendar arithmetic.
-fn seconds_of(text: &str) -> Option<f64> {
+/// Parses a UTC timestamp such as `2026-12-04T06:38:08.021759+00:00` into seconds since
+/// the Unix epoch. The days are counted in years that start in March, so that the leap
+/// day comes last.
+fn unix_seconds(text: &str) -> Option<f64> {
     let number = |from: usize, to: usize| text.get(from..to)?.parse::<f64>().ok();
     let (year, month, day) = (number(0, 4)?, number(5, 7)?, number(8, 10)?);
-    let shifted = if month <= 2.0 { year - 1.0 } else { year };
-    let turned = (month + 9.0) % 12.0;
-    let days = (365.25 * shifted).floor() - (shifted / 100.0).floor()
-        + (shifted / 400.0).floor()
-        + ((153.0 * turned + 2.0) / 5.0).floor()
+    let march_year = if month <= 2.0 { year - 1.0 } else { year };
+    let months_since_march = (month + 9.0) % 12.0;
+    let days = (365.25 * march_year).floor() - (march_year / 100.0).floor()
+        + (march_year / 400.0).floor()
+        + ((153.0 * months_since_march + 2.0) / 5.0).floor()
         + day
         - 719_469.0;
     let time = number(11, 13)? * 3_600.0 + number(14, 16)? * 60.0 + number(17, 26)?;
     Some(days * 86_400.0 + time)
 }
 
-fn print_times(times: &[f64]) {
-    let mut sorted = times.to_vec();
+/// Prints percentiles of the convergence times.
+fn print_convergence(convergence_ms: &[f64]) {
+    let mut sorted = convergence_ms.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let at = |share: f64| -> f64 {
-        let index = ((sorted.len() as f64 * share) as usize).min(sorted.len().saturating_sub(1));
+    let percentile = |fraction: f64| -> f64 {
+        let index = ((sorted.len() as f64 * fraction) as usize).min(sorted.len().saturating_sub(1));
         sorted.get(index).copied().unwrap_or_default()
     };
     println!(
         "convergence from the request in ms,p50 {:.1},p99 {:.1},max {:.1},samples {}",
-        at(0.5),
-        at(0.99),
-        at(1.0),
+        percentile(0.5),
+        percentile(0.99),
+        percentile(1.0),
         sorted.len()
     );
 }
 
-async fn log_usage(cluster: &TestCluster) -> Result<serde_json::Value> {
+/// Returns the log stand-in's request counts.
+async fn log_request_counts(cluster: &TestCluster) -> Result<serde_json::Value> {
     Ok(client::get(cluster.log_address(), "/behaviour")
         .await?
         .json())
 }
 
-async fn herd(cluster: &mut TestCluster, nodes: usize) -> Result<()> {
-    let before = log_usage(cluster).await?;
-    let began = Instant::now();
+/// Kills and restarts all nodes at once, and prints how long they take and how much they
+/// read and send until they know each other again.
+async fn restart_all(cluster: &mut TestCluster, nodes: usize) -> Result<()> {
+    let before = log_request_counts(cluster).await?;
+    let started_at = Instant::now();
     for index in 0..nodes {
         cluster.kill_node(index);
     }
     for index in 0..nodes {
         cluster.start_node(index)?;
     }
-    let mut times = Vec::new();
+    let mut ready_seconds = Vec::new();
     for index in 0..nodes {
         cluster.wait_node_ready(index).await?;
-        times.push(began.elapsed().as_secs_f64());
+        ready_seconds.push(started_at.elapsed().as_secs_f64());
     }
     println!(
         "herd,seconds until all are ready,{:.2}",
-        times.last().copied().unwrap_or_default()
+        ready_seconds.last().copied().unwrap_or_default()
     );
     cluster.wait_ready().await?;
-    let after = log_usage(cluster).await?;
+    let after = log_request_counts(cluster).await?;
     let reads =
         after["reads"].as_u64().unwrap_or_default() - before["reads"].as_u64().unwrap_or_default();
     println!("herd,reads of the log,{reads}");
     let costs = read_costs(cluster, nodes).await;
     for kind in ["Transfer", "AntiEntropy", "Push"] {
-        let sent = costs.iter().map(|cost| cost.bytes_sent(kind));
-        let mean = sent.clone().sum::<f64>() / nodes as f64;
-        let most = sent.fold(0.0, f64::max);
-        println!("herd,bytes sent by a node: {kind},mean {mean:.0},most {most:.0}");
+        let bytes_sent = costs.iter().map(|cost| cost.bytes_sent(kind));
+        let mean = bytes_sent.clone().sum::<f64>() / nodes as f64;
+        let max = bytes_sent.fold(0.0, f64::max);
+        println!("herd,bytes sent by a node: {kind},mean {mean:.0},most {max:.0}");
     }
     println!(
         "herd,seconds until all know all,{:.2}",
-        began.elapsed().as_secs_f64()
+        started_at.elapsed().as_secs_f64()
     );
     Ok(())
 }
