--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -5,8 +5,8 @@
 //! and slots would be spent on answers that no caller waits for any more. So a
 //! call that cannot finish before its deadline is refused on arrival, and its
 //! caller is told when to expect a slot. Waiting calls that can still meet their
-//! latency target are served first, ordered by class, priority and latency
-//! target. The remaining capacity goes to late calls, of which only a few may
+//! soft deadline are served first, ordered by class, priority and soft deadline.
+//! The remaining capacity goes to late calls, of which only a few may
 //! wait, since most of them would be refused in the end.
 //!
 //! A node knows a target's load only from its own last call there. When many
@@ -38,7 +38,7 @@
 /// common.
 const MIN_RUN_FACTOR: f64 = 0.6;
 
-/// Time that a call must have left before its latency target to be considered in
+/// Time that a call must have left before its soft deadline to be considered in
 /// time, as a multiple of its expected run time. With a factor of 1, half of the
 /// calls that are barely admitted would be late, and under sustained overload
 /// nearly all calls are barely admitted.
@@ -67,9 +67,9 @@
 pub struct SlotRequest {
     /// Rank in the queue.
     pub rank: QueueRank,
-    /// Latency target, as sent in `wisteriaturn-aim-ms`. Calls that can finish by
-    /// this time are served first.
-    pub latency_target: Instant,
+    /// Time up to which the answer has its full value, as sent in
+    /// `wisteriaturn-aim-ms`. Calls that can finish by this time are served first.
+    pub soft_deadline: Instant,
     /// Time after which the answer is useless.
     pub deadline: Instant,
     /// Expected time for which the call holds the slot.
@@ -80,10 +80,10 @@
 }
 
 impl SlotRequest {
-    /// Returns `true` if a call that starts at `start` will probably meet its
-    /// latency target.
+    /// Returns `true` if a call that starts at `start` will probably meet its soft
+    /// deadline.
     fn is_in_time(&self, start: Instant) -> bool {
-        start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.latency_target
+        start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.soft_deadline
     }
 
     /// Returns `true` if a call that starts at `start` may finish before its
@@ -93,7 +93,7 @@
     }
 }
 
-/// Rank, latency target and a sequence number that keeps keys unique.
+/// Rank, soft deadline and a sequence number that keeps keys unique.
 type QueueKey = (QueueRank, Instant, u64);
 
 #[derive(Debug)]
@@ -217,7 +217,7 @@
     ) -> Result<SlotPermit, RefusalReason> {
         let request = SlotRequest {
             rank: QueueRank::new(class, CallPriority::default()),
-            latency_target: deadline,
+            soft_deadline: deadline,
             deadline,
             expected_run: Duration::ZERO,
             max_wait: Duration::MAX,
@@ -251,7 +251,7 @@
             state.busy += 1;
             return Ok(Admission::Admitted(self.permit(now)));
         }
-        let key_bound = (request.rank, request.latency_target, u64::MAX);
+        let key_bound = (request.rank, request.soft_deadline, u64::MAX);
         let ahead = state.waiting.range(..key_bound).count();
         let wait = state.expected_wait(ahead);
         if wait > request.max_wait {
@@ -266,7 +266,7 @@
         }
         state.ensure_capacity(&request)?;
         let (sender, receiver) = oneshot::channel();
-        let key = (request.rank, request.latency_target, state.next_sequence);
+        let key = (request.rank, request.soft_deadline, state.next_sequence);
         state.next_sequence += 1;
         state.waiting.insert(key, WaitingCall { request, sender });
         Ok(Admission::Waiting(receiver))
@@ -388,8 +388,8 @@
         let Some(last) = self.waiting.last_entry() else {
             return Ok(());
         };
-        let (last_rank, last_latency_target, _) = *last.key();
-        if (last_rank, last_latency_target) <= (request.rank, request.latency_target) {
+        let (last_rank, last_soft_deadline, _) = *last.key();
+        if (last_rank, last_soft_deadline) <= (request.rank, request.soft_deadline) {
             return Err(RefusalReason::Saturated);
         }
         let _ = last.remove().sender.send(Err(RefusalReason::Saturated));
--- a/src/route/cost.rs
+++ b/src/route/cost.rs
@@ -84,9 +84,9 @@
 /// What a call requires of the target that serves it.
 #[derive(Debug, Clone, Copy)]
 pub struct CallRequirements {
-    /// Time left until the route's target latency is over, after which an
-    /// answer is late.
-    pub late_after: Duration,
+    /// Time left until the soft deadline, up to which the answer has its full
+    /// value.
+    pub soft_deadline: Duration,
     /// Time left until the deadline, after which an answer is worthless.
     pub deadline: Duration,
     /// Expected size of the answer's body in bytes.
@@ -216,10 +216,11 @@
         let transfer_cost = TRANSFER_COST_PER_KB[self.distance()] * bytes / 1024.0;
         let time =
             time + self.round_trip() + self.candidate.link.transfer_time(requirements.answer_bytes);
-        let late_cost = probability_over(time, requirements.late_after) * (1.0 - LATE_ANSWER_VALUE);
+        let late_cost =
+            probability_over(time, requirements.soft_deadline) * (1.0 - LATE_ANSWER_VALUE);
         let missed_cost = probability_over(time, requirements.deadline) * LATE_ANSWER_VALUE;
-        let late_after_secs = requirements.late_after.as_secs_f64().max(0.001);
-        let latency_cost = (time.as_secs_f64() / late_after_secs).min(1.0) * LATENCY_COST;
+        let soft_deadline_secs = requirements.soft_deadline.as_secs_f64().max(0.001);
+        let latency_cost = (time.as_secs_f64() / soft_deadline_secs).min(1.0) * LATENCY_COST;
         transfer_cost + late_cost + missed_cost + latency_cost + self.fixed_cost
     }
 
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -253,7 +253,8 @@
         };
         let now = self.clock.now();
         let requirements = CallRequirements {
-            late_after: (arrived_at + self.pattern.target_latency).saturating_duration_since(now),
+            soft_deadline: (arrived_at + self.pattern.target_latency)
+                .saturating_duration_since(now),
             deadline: (arrived_at + self.pattern.deadline).saturating_duration_since(now),
             answer_bytes: 1_500.0,
             expected_run_time: self.pattern.work,
@@ -304,7 +305,7 @@
         let simulated = &self.calls[call];
         let request = SlotRequest {
             rank: QueueRank::new(CallClass::Interactive, CallPriority(0)),
-            latency_target: simulated.arrived_at + self.pattern.target_latency,
+            soft_deadline: simulated.arrived_at + self.pattern.target_latency,
             deadline: simulated.arrived_at + self.pattern.deadline,
             expected_run: self.pattern.work,
             max_wait: simulated.max_wait,
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -38,11 +38,16 @@
     (gate, clock, permit.expect("a free slot"))
 }
 
-fn slot_request(clock: &ManualClock, priority: u8, late_after: u64, deadline: u64) -> SlotRequest {
+fn slot_request(
+    clock: &ManualClock,
+    priority: u8,
+    soft_deadline: u64,
+    deadline: u64,
+) -> SlotRequest {
     SlotRequest {
         max_wait: Duration::MAX,
         rank: QueueRank::new(CallClass::Interactive, CallPriority(priority)),
-        latency_target: clock.now() + ms(late_after),
+        soft_deadline: clock.now() + ms(soft_deadline),
         deadline: clock.now() + ms(deadline),
         expected_run: ms(100),
     }
@@ -88,7 +93,7 @@
     );
     assert!(!late_task.is_finished(), "the late call keeps waiting");
     // A second late call is refused: only one late call may wait per slot.
-    late.latency_target = clock.now();
+    late.soft_deadline = clock.now();
     let second = gate.acquire_for(late).await;
     assert_eq!(second.err(), Some(RefusalReason::Saturated));
 }
@@ -113,8 +118,8 @@
     let (gate, clock, permit) = busy_gate().await;
     // All three calls can still be in time, one after the other.
     let mut waiting = Vec::new();
-    for late_after in [450, 550, 650] {
-        waiting.push(enqueue(&gate, slot_request(&clock, 0, late_after, 10_000)).await);
+    for soft_deadline in [450, 550, 650] {
+        waiting.push(enqueue(&gate, slot_request(&clock, 0, soft_deadline, 10_000)).await);
     }
     // The running call takes much longer than the mean run time. Now all three
     // calls are late, and only one late call may wait per slot.
@@ -136,14 +141,14 @@
 async fn a_call_that_is_in_time_only_if_its_run_is_short_counts_as_late() {
     // The slot is expected to become free in 100 ms, and runs take 100 ms, most
     // of them up to 130 ms.
-    for (late_after, is_likely) in [(230, true), (229, false)] {
+    for (soft_deadline, is_likely) in [(230, true), (229, false)] {
         let (gate, clock, _held) = busy_gate().await;
         // This call is already late, so there is no room for further late
         // calls.
         let other = slot_request(&clock, 9, 0, 10_000);
         let _late = enqueue(&gate, other).await;
-        let call = enqueue(&gate, slot_request(&clock, 0, late_after, 10_000)).await;
-        assert_eq!(!call.is_finished(), is_likely, "{late_after} ms");
+        let call = enqueue(&gate, slot_request(&clock, 0, soft_deadline, 10_000)).await;
+        assert_eq!(!call.is_finished(), is_likely, "{soft_deadline} ms");
     }
 }
 
@@ -253,18 +258,18 @@
         }
     }
 
-    fn choose(&mut self, bytes: f64, late_after: u64) -> Option<usize> {
-        self.select(bytes, late_after).chosen
+    fn choose(&mut self, bytes: f64, soft_deadline: u64) -> Option<usize> {
+        self.select(bytes, soft_deadline).chosen
     }
 
-    fn max_wait(&mut self, bytes: f64, late_after: u64) -> Duration {
-        self.select(bytes, late_after).max_wait
+    fn max_wait(&mut self, bytes: f64, soft_deadline: u64) -> Duration {
+        self.select(bytes, soft_deadline).max_wait
     }
 
-    fn select(&mut self, bytes: f64, late_after: u64) -> TargetChoice {
+    fn select(&mut self, bytes: f64, soft_deadline: u64) -> TargetChoice {
         let requirements = CallRequirements {
-            late_after: ms(late_after),
-            deadline: ms(late_after * 4),
+            soft_deadline: ms(soft_deadline),
+            deadline: ms(soft_deadline * 4),
             answer_bytes: bytes,
             expected_run_time: ms(160),
         };
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -93,7 +93,7 @@
     }
     let slot_request = SlotRequest {
         rank: QueueRank::new(call.class, call.priority),
-        latency_target: call.soft_deadline.at(),
+        soft_deadline: call.soft_deadline.at(),
         deadline: until,
         expected_run: run_time,
         max_wait: call.max_wait,
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -70,7 +70,8 @@
     pub service: Arc<ServiceEntry>,
     /// The caller's request ID.
     pub request_id: Option<HeaderValue>,
-    /// The time after which an answer is late, from the route's target latency.
+    /// The time up to which the answer has its full value, from the route's target
+    /// latency.
     pub soft_deadline: CallDeadline,
     /// The time by which the caller must have the answer.
     pub deadline: CallDeadline,
@@ -88,7 +89,7 @@
 
 impl RoutedCall {
     /// Returns the caller's request ID, sanitized for log lines.
-    pub(crate) fn request_text(&self) -> Sanitized<'_> {
+    pub(crate) fn loggable_request_id(&self) -> Sanitized<'_> {
         Sanitized::from_header(self.request_id.as_ref())
     }
 }
--- a/wisteriaturnd/src/ingress/selection.rs
+++ b/wisteriaturnd/src/ingress/selection.rs
@@ -125,7 +125,7 @@
     call.route.spec.target_latency_ms?;
     let estimate = node.answer_estimates.estimate(&call.route.spec.name);
     Some(CallRequirements {
-        late_after: call.soft_deadline.remaining(now),
+        soft_deadline: call.soft_deadline.remaining(now),
         deadline: call.deadline.remaining(now),
         answer_bytes: estimate.bytes,
         expected_run_time: estimate.run_time,
@@ -137,7 +137,7 @@
     let Some(chosen) = choice.chosen.map(|index| &choice.candidates[index]) else {
         log::warn!(
             event = "route",
-            request:% = call.request_text(),
+            request:% = call.loggable_request_id(),
             route:% = call.route.spec.name,
             service:% = call.service.spec.name,
             target = "none",
@@ -149,7 +149,7 @@
     };
     log::info!(
         event = "route",
-        request:% = call.request_text(),
+        request:% = call.loggable_request_id(),
         route:% = call.route.spec.name,
         service:% = call.service.spec.name,
         version:% = call.view.config.version,
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -59,13 +59,13 @@
     pub priority: CallPriority,
     /// Route by which it came.
     pub route: Option<RouteName>,
-    /// Until when its answer is worth most.
+    /// Time up to which the answer has its full value.
     pub soft_deadline: CallDeadline,
     /// The caller's name for its attempt.
     pub request_id: Option<HeaderValue>,
     /// When the answer must be there.
     pub deadline: CallDeadline,
-    /// Longest wait for a slot that is better than going elsewhere.
+    /// Longest wait for a slot that is still better than trying another target.
     pub max_wait: Duration,
     /// Whether running it twice does no harm.
     pub is_idempotent: bool,
