--- a/tests/integration/process_answers.rs
+++ b/tests/integration/process_answers.rs
@@ -1,4 +1,4 @@
-//! Answers: whole, of the own request, or not at all.
+//! A caller gets the complete answer to its own request or an error.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use wisteriaturn_testing::client;
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 
-async fn portal(targets: usize) -> Result<TestCluster> {
+async fn portal_cluster(targets: usize) -> Result<TestCluster> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 3,
         ..ClusterPlan::default()
@@ -26,16 +26,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_cut_short_never_looks_whole() -> Result<()> {
-    let cluster = portal(1).await?;
+async fn a_truncated_answer_is_never_reported_as_complete() -> Result<()> {
+    let cluster = portal_cluster(1).await?;
     for ingress in [cluster.ingress(0), cluster.ingress(2)] {
         let read = client::send(ingress, "GET", "/portal", &[("x-cut", "1")], b"").await;
-        // A target may break off before its head is out: then the call is
-        // tried again, and ends as unknown, since it did run.
+        // The target may close the connection before the head of its answer was
+        // sent. The call is then retried, and its outcome is unknown, since it
+        // did run.
         if let Ok(reply) = read {
             assert_eq!((reply.status, reply.outcome()), (502, "unknown"));
         }
-        // An answer that the gate holds until it is whole is replaced.
+        // The gate stores the answer to a POST before it sends any of it, so a
+        // truncated answer is replaced by an error.
         let write = client::send(ingress, "POST", "/portal", &[("x-cut", "1")], b"").await?;
         assert_eq!((write.status, write.outcome()), (502, "unknown"));
     }
@@ -45,14 +47,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answers_reach_no_other_request() -> Result<()> {
-    let cluster = portal(2).await?;
+    let cluster = portal_cluster(2).await?;
     let mut calls = Vec::new();
     for number in 0..200 {
         let ingress = cluster.ingress(number % 3);
         calls.push(tokio::spawn(async move {
             let id = format!("late-{number}");
             let sleep = (number * 7 % 60).to_string();
-            // Half of the calls are given up before their answer comes.
+            // Half of the calls have a deadline shorter than most answers take.
             let deadline = if number % 2 == 0 { "20" } else { "9000" };
             let headers = [
                 ("x-run", id.as_str()),
@@ -61,8 +63,8 @@
             ];
             let method = if number % 4 < 2 { "GET" } else { "POST" };
             let call = client::send(ingress, method, "/portal", &headers, b"");
-            let given_up = Duration::from_millis(if number % 5 == 0 { 15 } else { 20_000 });
-            let reply = tokio::time::timeout(given_up, call).await;
+            let caller_timeout = Duration::from_millis(if number % 5 == 0 { 15 } else { 20_000 });
+            let reply = tokio::time::timeout(caller_timeout, call).await;
             (id, reply)
         }));
     }
@@ -84,8 +86,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_leaves_gets_no_new_call() -> Result<()> {
-    let mut cluster = portal(2).await?;
+async fn a_draining_target_gets_no_new_calls() -> Result<()> {
+    let mut cluster = portal_cluster(2).await?;
     let ingress = cluster.ingress(0);
     let held = tokio::spawn(async move {
         let headers = [("x-sleep-ms", "2000"), ("x-run", "held")];
@@ -96,26 +98,26 @@
             cluster.run_counts().contains_key("held")
         })
         .await?;
-    // The node beside it prefers no target over the other, so find the one.
+    // The call may run at either target, so find out which one has it.
     let reply = client::get(cluster.admin(0), "/v1/status").await?;
-    let leaving = usize::from(reply.json()["calls_at_gate"] == json!(0));
-    cluster.target_process(leaving).send_signal("TERM");
+    let draining = usize::from(reply.json()["calls_at_gate"] == json!(0));
+    cluster.target_process(draining).send_signal("TERM");
     cluster.wait_targets(2, "portal", 1).await?;
     cluster.wait_targets(0, "portal", 1).await?;
-    let other = cluster.target_address(1 - leaving).to_string();
+    let other = cluster.target_address(1 - draining).to_string();
     for number in 0..60 {
         let reply = client::get(cluster.ingress(number % 3), "/portal").await?;
         assert_eq!(reply.outcome(), "done", "{}", reply.text());
         assert_eq!(reply.json()["target"], json!(other));
     }
-    assert_eq!(held.await??.outcome(), "done", "the call in flight ends");
-    assert_eq!(cluster.target_process(leaving).wait().await?, 0);
+    assert_eq!(held.await??.outcome(), "done", "the running call completes");
+    assert_eq!(cluster.target_process(draining).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_stalls_frees_its_slot() -> Result<()> {
+async fn a_stalled_body_frees_its_slot() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         tuning: "stall_timeout_ms = 300".to_owned(),
@@ -132,7 +134,8 @@
         let is_whole = stalled.is_ok_and(|reply| reply.outcome() == "done");
         assert!(!is_whole);
     }
-    // A caller that stops reading: the answer fits no buffer on the way.
+    // A caller that stops reading. The answer is larger than all buffers on the
+    // way.
     let mut caller = TcpStream::connect(ingress).await?;
     let request = "GET /portal HTTP/1.1\r\nhost: x\r\nx-answer-bytes: 80000000\r\n\r\n";
     caller.write_all(request.as_bytes()).await?;
--- a/tests/integration/process_stop.rs
+++ b/tests/integration/process_stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops, drains, overload and chains of calls.
+//! Planned stops, draining, overload and chains of calls between services.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_call() -> Result<()> {
+async fn a_planned_stop_interrupts_no_call() -> Result<()> {
     let mut cluster = portal_cluster(4, 3, 6).await?;
     let is_over = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
@@ -47,7 +47,7 @@
             Ok::<_, eyre::Report>(outcomes)
         }));
     }
-    // One node stops, then one target leaves by itself.
+    // Stop one node, then one target whose node keeps running.
     cluster.node_process(0).send_signal("TERM");
     assert_eq!(cluster.node_process(0).wait().await?, 0);
     cluster.kill_node(0);
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_call_outlives_the_stop_of_its_gate_and_its_ingress() -> Result<()> {
+async fn a_long_call_completes_while_its_gate_and_ingress_stop() -> Result<()> {
     let mut cluster = portal_cluster(2, 1, 6).await?;
     let mut calls = Vec::new();
     for index in 0..2 {
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn overload_is_shed_as_not_run_and_the_slots_stay_busy() -> Result<()> {
+async fn overload_is_refused_as_not_run_and_the_slots_stay_busy() -> Result<()> {
     let cluster = portal_cluster(3, 2, 2).await?;
     let mut calls = Vec::new();
     for number in 0..120 {
@@ -106,13 +106,16 @@
             Ok::<_, eyre::Report>((id.clone(), reply.outcome().to_owned()))
         }));
     }
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for call in calls {
-        told.push(call.await??);
+        results.push(call.await??);
     }
     let runs = cluster.run_counts();
-    let done = told.iter().filter(|(_, outcome)| outcome == "done").count();
-    for (id, outcome) in &told {
+    let done = results
+        .iter()
+        .filter(|(_, outcome)| outcome == "done")
+        .count();
+    for (id, outcome) in &results {
         assert_ne!(outcome, "unknown");
         let expected = usize::from(outcome == "done");
         assert_eq!(
@@ -121,14 +124,14 @@
             "{id} {outcome}"
         );
     }
-    // Two targets with two slots and a queue of four for each slot.
+    // Two targets with two slots each and a queue of four calls per slot.
     assert!(done >= 20, "{done} of 120 were served");
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failing_leaf_is_not_hit_more_for_the_depth_of_the_chain() -> Result<()> {
+async fn errors_of_the_last_service_in_a_chain_are_not_retried() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 4,
         ..ClusterPlan::default()
@@ -152,15 +155,16 @@
         let reply = client::send(cluster.ingress(0), "GET", "/one", &headers, b"").await?;
         assert_eq!(reply.status, 503);
     }
-    // Each call runs once at each of the four depths: an answer of a target is
-    // an answer, whatever its status, and nobody retries it.
+    // Each call runs once at each of the four services. An answer of a target is
+    // never retried, whatever its status: retries at each level of a chain would
+    // multiply the load on the failing service.
     assert_eq!(cluster.run_counts()["chain"], calls * 4);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_leaf_costs_no_more_than_the_retry_budget() -> Result<()> {
+async fn retries_to_killed_nodes_stay_within_the_budget() -> Result<()> {
     let mut cluster = portal_cluster(3, 2, 6).await?;
     cluster.kill_node(0);
     cluster.kill_node(1);
@@ -171,15 +175,16 @@
     }
     let text = cluster.metrics(2).await;
     let retries = metrics::sum(&text, "wisteriaturn_retries_total", "");
-    // Ten that are kept in reserve, one a second, and a tenth of the calls.
-    let most = 10.0 + f64::from(calls) / 10.0 + 60.0;
-    assert!(retries <= most, "{retries} retries of {calls} calls");
+    // A reserve of ten, a tenth of the calls, and one per second for up to a
+    // minute.
+    let budget = 10.0 + f64::from(calls) / 10.0 + 60.0;
+    assert!(retries <= budget, "{retries} retries of {calls} calls");
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_body_passes_in_bounded_memory() -> Result<()> {
+async fn a_large_body_is_streamed_in_bounded_memory() -> Result<()> {
     let cluster = portal_cluster(2, 1, 6).await?;
     let size = 100 * 1024 * 1024;
     let headers = [("x-answer-bytes", "104857600")];
@@ -194,16 +199,16 @@
             .find_map(|line| line.strip_prefix("VmHWM:"))
             .and_then(|text| text.trim().trim_end_matches(" kB").parse::<u64>().ok())
             .unwrap_or(u64::MAX);
-        // The bound for a node's control is 128 MB; a body held whole would
-        // take 100 MB of it alone.
-        assert!(peak < 90 * 1024, "node {index} took {peak} kB");
+        // The control functions of a node may use 128 MB. Buffering the whole
+        // body would take 100 MB of it.
+        assert!(peak < 90 * 1024, "peak memory of node {index}: {peak} kB");
     }
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_whose_caller_left_does_not_start() -> Result<()> {
+async fn a_call_whose_caller_disconnected_does_not_start() -> Result<()> {
     let cluster = portal_cluster(2, 1, 1).await?;
     let (busy_ingress, ingress) = (cluster.ingress(1), cluster.ingress(1));
     let busy = tokio::spawn(async move {
@@ -227,7 +232,7 @@
     gone.abort();
     let _ = gone.await;
     assert_eq!(busy.await??.outcome(), "done");
-    // A third call is served after the second would have been.
+    // The second call would have been served before this third one.
     let headers = [("x-run", "third")];
     client::send(cluster.ingress(1), "POST", "/portal", &headers, b"").await?;
     assert!(!cluster.run_counts().contains_key("gone"));
@@ -236,9 +241,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_is_sent_as_a_node_stops_is_served() -> Result<()> {
+async fn a_request_sent_while_a_node_stops_is_served() -> Result<()> {
     let mut cluster = portal_cluster(2, 1, 6).await?;
-    // Holds the stop open until the other request is there.
+    // Delays the end of the stop until the other request has arrived.
     let ingress = cluster.ingress(1);
     let held = tokio::spawn(async move {
         let headers = [("x-sleep-ms", "3000"), ("x-run", "held")];
@@ -249,7 +254,7 @@
             cluster.run_counts().contains_key("held")
         })
         .await?;
-    // A connection that has not brought a request yet.
+    // A connection on which no request has been sent yet.
     let mut connection = HttpConnection::open(ingress).await?;
     cluster.node_process(1).send_signal("TERM");
     cluster
@@ -268,7 +273,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gate_goes_on_while_callers_hear_that_its_node_stops() -> Result<()> {
+async fn a_lame_duck_node_still_serves_calls() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         tuning: "lame_duck_ms = 20000".to_owned(),
@@ -287,7 +292,7 @@
             ready.is_ok_and(|reply| reply.status == 503)
         })
         .await?;
-    // Nobody else serves, and its target's slots are free.
+    // No other target serves the service, and this one has free slots.
     let reply = client::get(cluster.ingress(1), "/portal").await?;
     assert_eq!(reply.outcome(), "done", "{}", reply.text());
     let reply = client::get(cluster.ingress(0), "/portal").await?;
@@ -298,13 +303,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_stops_before_it_was_ready_denies_no_route() -> Result<()> {
+async fn a_node_that_stops_before_it_was_ready_reports_not_ready() -> Result<()> {
     let mut cluster = TestCluster::prepare(ClusterPlan {
         nodes: 1,
         tuning: "lame_duck_ms = 1000".to_owned(),
         ..ClusterPlan::default()
     })?;
-    // Without the log it learns no configuration and stays in its start.
+    // Without the log, the node gets no configuration and never becomes ready. It
+    // must not refuse calls for lack of a route that it can't know.
     cluster.start_node(0)?;
     cluster.wait_node_listening(0).await?;
     cluster.node_process(0).send_signal("TERM");
@@ -314,14 +320,14 @@
         assert_eq!(reply.header("wisteriaturn-reason"), "not-ready");
         replies += 1;
     }
-    assert!(replies > 0, "the port stays open for the lame duck's time");
+    assert!(replies > 0, "the port must stay open in lame duck");
     assert_eq!(cluster.node_process(0).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_outlasts_the_drain_is_answered_and_not_just_cut() -> Result<()> {
+async fn a_call_that_outlasts_the_drain_timeout_gets_an_answer() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         tuning: "drain_timeout_ms = 1000".to_owned(),
@@ -350,8 +356,8 @@
     Ok(())
 }
 
-/// Known red, see KNOWN-RED.txt: what a node was told of a target that leaves
-/// does not outlive the node's process.
+/// Known red, see KNOWN-RED.txt: a node forgets the departure of a target when
+/// its process ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_node_refuses_late_words_of_a_target_that_left() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
@@ -368,13 +374,13 @@
         })
         .to_string()
     };
-    let told = client::post(cluster.admin(0), "/v1/targets", &announcement(5, true)).await?;
-    assert_eq!(told.status, 200, "{}", told.text());
+    let accepted = client::post(cluster.admin(0), "/v1/targets", &announcement(5, true)).await?;
+    assert_eq!(accepted.status, 200, "{}", accepted.text());
     cluster.kill_node(0);
     cluster.start_node(0)?;
     cluster.wait_node_ready(0).await?;
     let late = client::post(cluster.admin(0), "/v1/targets", &announcement(4, false)).await?;
-    assert_ne!(late.status, 200, "the target had said that it leaves");
+    assert_ne!(late.status, 200, "the target announced its drain before");
     cluster.remove_folder();
     Ok(())
 }
