--- a/wisteriaturnd/src/error.rs
+++ b/wisteriaturnd/src/error.rs
@@ -1,24 +1,25 @@
-//! The errors of the daemon.
+//! Error types of the daemon.
 
 use std::fmt;
 
 use wisteriaturn::error::{CodecError, LogError};
 
-/// Says why a settings file was refused.
+/// The reason why a settings file is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum SettingsError {
     /// The file cannot be read.
     Unreadable(String),
-    /// The file is not TOML, or has an unknown key or a value of a wrong type.
+    /// The file is not valid TOML, or contains an unknown key or a value of the
+    /// wrong type.
     Malformed(String),
     /// A value is not allowed.
     NotAllowed {
-        /// Key of the value.
+        /// Key of the setting.
         key: &'static str,
         /// The value.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
@@ -26,8 +27,8 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::Unreadable(why) => write!(f, "cannot read the settings: {why}"),
-            SettingsError::Malformed(why) => write!(f, "malformed settings: {why}"),
+            SettingsError::Unreadable(reason) => write!(f, "cannot read the settings: {reason}"),
+            SettingsError::Malformed(reason) => write!(f, "malformed settings: {reason}"),
             SettingsError::NotAllowed {
                 key,
                 value,
@@ -42,30 +43,30 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Says why a peer or a gate could not be asked.
+/// The reason why a request to another node or to a target failed.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum LinkError {
-    /// The connection could not be made, so nothing was sent.
+    /// The connection could not be opened, so nothing was sent.
     Unreachable(String),
-    /// The connection failed after something was sent.
+    /// The connection failed after part of the request may have been sent.
     Lost(String),
-    /// The other side does not know the mesh key.
+    /// The other side could not prove that it knows the mesh key.
     Unauthenticated,
-    /// The other side sent what cannot be decoded.
+    /// The other side sent a message that cannot be decoded.
     Codec(CodecError),
-    /// No answer came in time.
+    /// The connection was not opened, or the answer did not arrive, in time.
     TimedOut,
 }
 
 impl fmt::Display for LinkError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LinkError::Unreachable(why) => write!(f, "unreachable: {why}"),
-            LinkError::Lost(why) => write!(f, "connection lost: {why}"),
+            LinkError::Unreachable(reason) => write!(f, "unreachable: {reason}"),
+            LinkError::Lost(reason) => write!(f, "connection lost: {reason}"),
             LinkError::Unauthenticated => f.write_str("the peer does not know the mesh key"),
-            LinkError::Codec(error) => write!(f, "peer sent a bad message: {error}"),
-            LinkError::TimedOut => f.write_str("no answer in time"),
+            LinkError::Codec(error) => write!(f, "the peer sent an invalid message: {error}"),
+            LinkError::TimedOut => f.write_str("timed out"),
         }
     }
 }
@@ -84,27 +85,29 @@
     }
 }
 
-/// Says why a change of the configuration has no verdict.
+/// The reason why the outcome of a configuration change is not known, or why the
+/// change was not written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum ApplyError {
-    /// The change cannot be written as a record.
+    /// The change cannot be encoded as a record.
     Encoding(CodecError),
-    /// The log refused the record: the change is not in force and will not be.
+    /// The log refused the record, so the change never comes into force.
     Refused(LogError),
-    /// The record may have been written; its change id can be asked about.
+    /// The record may have been written. Sending the change again with the same
+    /// change id is safe and returns its outcome.
     Unknown,
-    /// The configuration is written at its source, and only read here.
+    /// The configuration is written at the document source and is read-only here.
     ReadOnly,
 }
 
 impl fmt::Display for ApplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ApplyError::Encoding(error) => write!(f, "the change cannot be written: {error}"),
+            ApplyError::Encoding(error) => write!(f, "the change cannot be encoded: {error}"),
             ApplyError::Refused(error) => write!(f, "the change was not written: {error}"),
             ApplyError::ReadOnly => {
-                f.write_str("the configuration is written at its source and only read here")
+                f.write_str("the configuration is read-only here; change it at the document source")
             }
             ApplyError::Unknown => f.write_str("the log did not answer in time"),
         }
--- a/wisteriaturnd/src/jitter.rs
+++ b/wisteriaturnd/src/jitter.rs
@@ -1,10 +1,10 @@
-//! Pauses that differ from node to node, so that a herd does not act as one.
+//! Random jitter for delays, so that many nodes do not act at the same moment.
 
 use std::time::Duration;
 
 use rand::RngExt;
 
-/// Returns a time within three tenths of `time`.
-pub fn jittered(time: Duration) -> Duration {
-    time.mul_f64(rand::rng().random_range(0.7..1.3))
+/// Returns a random duration that differs from `duration` by at most 30 percent.
+pub fn jittered(duration: Duration) -> Duration {
+    duration.mul_f64(rand::rng().random_range(0.7..1.3))
 }
--- a/wisteriaturnd/src/lib.rs
+++ b/wisteriaturnd/src/lib.rs
@@ -1,9 +1,11 @@
-//! The daemon of wisteriaturn: the sockets around the decisions.
+//! The daemon of wisteriaturn: network I/O around the decision logic of the crate
+//! `wisteriaturn`.
 //!
-//! One process runs beside each target. It takes callers' requests (ingress),
-//! guards its target (gate), knows the other nodes (member), sometimes reads
-//! the log for its data centre (relay) and serves the resource API (admin).
-//! Every connection and every peer has a task that is written straight down.
+//! One process runs next to each target. It accepts requests of callers
+//! (ingress), admits calls to its target (gate), tracks the other nodes (member),
+//! reads the log on behalf of its data centre if it is a relay, and serves the
+//! resource API (admin). Every connection has its own task, written as sequential
+//! code.
 //!
 //! See [docs/DESIGN.md](../../docs/DESIGN.md) and
 //! [docs/OPERATIONS.md](../../docs/OPERATIONS.md).
--- a/wisteriaturnd/src/logs.rs
+++ b/wisteriaturnd/src/logs.rs
@@ -1,8 +1,8 @@
-//! Log lines: one event each, as key=value pairs.
+//! Logging: one line for each event, as key=value pairs.
 //!
-//! The layout is logforth's. It quotes a value that holds a space, a quote or
-//! an equals sign, but not one that holds a line break, so text that strangers
-//! choose goes through [`Sanitized`] first and cannot forge a line.
+//! logforth formats the lines. It quotes a value that contains a space, a quote or
+//! an equals sign, but not one that contains a line break. Untrusted text is
+//! therefore logged as [`Sanitized`], so that it cannot forge a line.
 
 use std::fmt;
 
@@ -12,15 +12,17 @@
 use logforth::bridge::log::LogBridge;
 use logforth::layout::LogfmtLayout;
 
-/// Most characters of a stranger's text in one value.
-const CLEAN_LIMIT: usize = 200;
+/// Maximum number of characters of untrusted text in one value.
+const MAX_VALUE_CHARS: usize = 200;
 
-/// Text with control characters escaped and its length bounded.
+/// Displays untrusted text with its control characters escaped and its length
+/// limited.
 #[derive(Debug, Clone, Copy)]
 pub struct Sanitized<'a>(pub &'a str);
 
 impl<'a> Sanitized<'a> {
-    /// Returns the text of a header, or nothing as an empty text.
+    /// Wraps the value of a header, or an empty string if the header is missing or
+    /// contains other bytes than visible ASCII.
     pub fn from_header(value: Option<&'a HeaderValue>) -> Self {
         let text = value.and_then(|value| value.to_str().ok());
         Self(text.unwrap_or_default())
@@ -30,10 +32,10 @@
 impl fmt::Display for Sanitized<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
-            // An empty value would read as if the next key were its value.
+            // After an empty value, the next key would look like the value.
             return f.write_str("-");
         }
-        for character in self.0.chars().take(CLEAN_LIMIT) {
+        for character in self.0.chars().take(MAX_VALUE_CHARS) {
             if character.is_control() {
                 write!(f, "{}", character.escape_default())?;
             } else {
@@ -44,20 +46,21 @@
     }
 }
 
-/// Starts logging to standard output.
+/// Initializes logging to standard output.
 ///
-/// Lines are handed to a thread of their own, so that a slow reader of the
-/// output does not hold up calls; when its buffer is full, lines are dropped.
+/// A separate thread writes the lines, so that a slow reader of the output does
+/// not delay calls. Lines are dropped while the thread's buffer is full.
 pub fn init(level: LevelFilter) {
-    let append = logforth::append::asynchronous::AsyncBuilder::new("logs")
+    let appender = logforth::append::asynchronous::AsyncBuilder::new("logs")
         .buffered_lines_limit(Some(16_384))
         .overflow_drop_incoming()
         .append(Stdout::default().with_layout(LogfmtLayout::default()))
         .build();
     let logger = logforth::core::builder()
-        .dispatch(|dispatch| dispatch.append(append))
+        .dispatch(|dispatch| dispatch.append(appender))
         .build();
     log::set_max_level(level);
-    // A second start in one process, as in tests, keeps the first logger.
+    // A second initialization in the same process, as in tests, keeps the first
+    // logger.
     let _ = log::set_boxed_logger(Box::new(LogBridge::new(logger)));
 }
--- a/wisteriaturnd/src/main.rs
+++ b/wisteriaturnd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon `wisteriaturnd`.
+//! The executable `wisteriaturnd`, which runs one node.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 use wisteriaturnd::stream::http::http_log;
 use wisteriaturnd::{logs, trial};
 
-/// Exit code for settings or arguments that are not allowed.
+/// Exit code for invalid settings or arguments.
 const EXIT_USAGE: u8 = 2;
 
 #[derive(Debug, Options)]
@@ -27,9 +27,9 @@
     config: Option<PathBuf>,
     #[options(help = "check the settings and exit")]
     check: bool,
-    #[options(help = "run one node with a log in memory and a target, for a first look")]
+    #[options(help = "run a demo of one node with an in-memory log and a sample target")]
     trial: bool,
-    #[options(help = "end the process on a broken invariant")]
+    #[options(help = "abort the process on an invariant violation")]
     strict: bool,
 }
 
@@ -76,22 +76,24 @@
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let stop = stop_signal()?;
+        let stop_signal = wait_for_stop_signal()?;
         if is_trial {
-            return trial::run(settings, stop).await;
+            return trial::run(settings, stop_signal).await;
         }
         let log = http_log(settings.log_address, Arc::new(SystemClock));
         let builder = NodeBuilder::new(settings, Arc::new(SystemClock), log);
         let running = RunningNode::start(builder)
             .await
             .wrap_err("cannot open a port")?;
-        stop.await;
+        stop_signal.await;
         running.stop().await;
         Ok(())
     })
 }
 
-fn stop_signal() -> Result<impl Future<Output = ()>> {
+/// Installs the signal handlers and returns a future that completes on SIGTERM or
+/// SIGINT.
+fn wait_for_stop_signal() -> Result<impl Future<Output = ()>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     Ok(async move {
--- a/wisteriaturnd/src/metrics.rs
+++ b/wisteriaturnd/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The metrics of a node.
 //!
-//! Names carry their units. [docs/OPERATIONS.md](../../docs/OPERATIONS.md)
-//! says which of them deserve an alarm.
+//! Metric names include their units. [docs/OPERATIONS.md](../../docs/OPERATIONS.md)
+//! describes which of them to alert on.
 
 use std::sync::atomic::AtomicU64;
 
@@ -14,64 +14,64 @@
 use prometheus_client::registry::Registry;
 use wisteriaturn::invariant::{INVARIANTS, violations};
 
-/// Labels of a call's end.
+/// The labels of a finished call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// What the caller was told.
+    /// Outcome that was reported to the caller.
     pub outcome: &'static str,
-    /// Why there was no answer, or `none`.
+    /// Reason why the call was not answered, or `none`.
     pub reason: &'static str,
 }
 
-/// Kinds of control traffic.
+/// The kind of a control message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum TrafficKind {
-    /// Probes with the news that rides along.
+    /// Failure-detection probes, with the updates that are piggybacked on them.
     Probe,
-    /// Pushed news and configuration records.
+    /// Pushed updates, configuration records and reader heartbeats.
     Push,
-    /// Comparison of members.
+    /// Anti-entropy exchanges of member records.
     AntiEntropy,
-    /// Pulled configuration and joins.
+    /// Configuration pulls and joins.
     Transfer,
     /// Claims of idempotency keys.
     Claim,
-    /// Questions about who holds a version.
+    /// Queries for the number of nodes that hold a version.
     Convergence,
 }
 
-/// How far control traffic goes.
+/// The distance that control traffic travels.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum TrafficReach {
     /// Within the data centre.
     DataCentre,
     /// Within the region.
     Region,
-    /// Across regions, which is billed.
+    /// To another region; this traffic is billed.
     World,
-    /// To an address that is not a known member.
+    /// To an address that does not belong to a known member.
     Unknown,
 }
 
-/// Labels of control traffic that was sent.
+/// The labels of control traffic that was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct TrafficLabels {
-    /// Kind.
+    /// Kind of the message.
     pub kind: TrafficKind,
-    /// Reach.
+    /// Distance that the message travels.
     pub reach: TrafficReach,
 }
 
-/// Labels of something that was dropped.
+/// The label of a message, connection or request that was dropped.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DropLabels {
-    /// Why it was dropped.
+    /// Reason for the drop.
     pub cause: &'static str,
 }
 
-/// Labels of an invariant.
+/// The label of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct RuleLabels {
+struct InvariantLabels {
     rule: &'static str,
 }
 
@@ -79,42 +79,45 @@
 #[derive(Debug)]
 pub struct NodeMetrics {
     registry: Registry,
-    /// Calls that ended at this ingress.
+    /// Calls that finished at this ingress.
     pub calls: Family<CallLabels, Counter>,
-    /// Attempts beyond the first.
+    /// Attempts after the first one of a call.
     pub retries: Counter,
-    /// Retries that the budget refused.
+    /// Retries that were refused by a retry budget.
     pub retries_refused: Counter,
-    /// Time that a call spent at this ingress.
+    /// Time from the arrival of a call at this ingress to the end of its answer.
     pub call_seconds: Histogram,
-    /// Time that a call waited at this gate.
+    /// Time for which a call waited for a slot at this gate.
     pub gate_wait_seconds: Histogram,
-    /// Calls sent to the local target.
+    /// Calls that were sent to a local target.
     pub target_runs: Counter,
-    /// Answers handed over after a lost exchange.
+    /// Answers that were sent to a node after its connection for the call had
+    /// broken.
     pub handovers: Counter,
-    /// Control bytes sent, with 28 bytes of IP and UDP headers a datagram.
+    /// Bytes of control traffic sent, including 28 bytes of IP and UDP headers for
+    /// each datagram.
     pub control_bytes: Family<TrafficLabels, Counter>,
-    /// Things dropped at a bound or a check.
+    /// Messages, connections and requests that were dropped because of a limit or
+    /// a failed check.
     pub drops: Family<DropLabels, Counter>,
-    /// Version in force.
+    /// Configuration version in force.
     pub config_version: Gauge<u64, AtomicU64>,
-    /// Members alive or suspect.
+    /// Members that are alive or suspect.
     pub members: Gauge,
-    /// Whether the node is ready.
+    /// 1 if the node is ready, otherwise 0.
     pub ready: Gauge,
-    /// Whether this node is a relay of its data centre.
+    /// 1 if this node is a relay of its data centre, otherwise 0.
     pub relay: Gauge,
-    /// Targets ejected by this node.
+    /// Targets that this node ejected because of failures.
     pub ejections: Counter,
-    /// Requests that lost a target here.
+    /// Crashes of a local target during a call.
     pub target_losses: Counter,
-    rules: Family<RuleLabels, Gauge<u64, AtomicU64>>,
+    invariant_violations: Family<InvariantLabels, Gauge<u64, AtomicU64>>,
     log_bytes: Gauge<u64, AtomicU64>,
 }
 
 impl NodeMetrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("wisteriaturn");
         let calls = Family::default();
@@ -163,11 +166,11 @@
             "Exchanges lost to a crash",
             target_losses.clone(),
         );
-        let rules = Family::default();
+        let invariant_violations = Family::default();
         registry.register(
             "invariant_violations",
             "Broken invariants; must be 0",
-            rules.clone(),
+            invariant_violations.clone(),
         );
         let log_bytes = Gauge::default();
         registry.register(
@@ -193,29 +196,32 @@
             relay,
             ejections,
             target_losses,
-            rules,
+            invariant_violations,
         }
     }
 
-    /// Counts something that was dropped.
+    /// Counts a dropped message, connection or request.
     pub fn record_drop(&self, cause: &'static str) {
         self.drops.get_or_create(&DropLabels { cause }).inc();
     }
 
-    /// Counts control bytes that were sent.
+    /// Adds control bytes that were sent.
     pub fn record_sent(&self, kind: TrafficKind, reach: TrafficReach, bytes: usize) {
         self.control_bytes
             .get_or_create(&TrafficLabels { kind, reach })
             .inc_by(bytes as u64);
     }
 
-    /// Returns all metrics as text; `log_bytes` comes from the log's port.
+    /// Returns all metrics in the Prometheus text format. `log_bytes` is the
+    /// traffic with the log so far.
     pub fn encode(&self, log_bytes: u64) -> String {
         self.log_bytes.set(log_bytes);
-        for rule in INVARIANTS {
-            self.rules
-                .get_or_create(&RuleLabels { rule: rule.name() })
-                .set(violations(rule));
+        for invariant in INVARIANTS {
+            self.invariant_violations
+                .get_or_create(&InvariantLabels {
+                    rule: invariant.name(),
+                })
+                .set(violations(invariant));
         }
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/wisteriaturnd/src/trial.rs
+++ b/wisteriaturnd/src/trial.rs
@@ -1,5 +1,5 @@
-//! A first look: one node with a log in memory, a target beside it, and one
-//! request that goes through both.
+//! A demo: one node with an in-memory log, a sample target, and one request that
+//! passes through both.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 use crate::settings::NodeSettings;
 use crate::stream::memory::memory_log;
 
-/// Settings of the trial node.
+/// Settings of the demo node, in TOML.
 pub const TRIAL_SETTINGS: &str = r#"
 region = "trial"
 data_centre = "trial-1"
@@ -42,6 +42,7 @@
 address = "127.0.0.1:7084"
 "#;
 
+/// The change that configures the service and the route of the sample target.
 const TRIAL_CHANGE: &str = r#"{
   "author": "trial",
   "operations": [
@@ -50,15 +51,15 @@
   ]
 }"#;
 
-/// How often the trial's target announces itself.
+/// Interval at which the sample target is announced.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Runs the trial until `stop` ends.
+/// Runs the demo until `stop_signal` completes.
 ///
 /// # Errors
 ///
-/// What kept the trial's request from being answered.
-pub async fn run<S>(settings: NodeSettings, stop: S) -> Result<()>
+/// Returns an error if the node does not start, or if it rejects the change.
+pub async fn run<S>(settings: NodeSettings, stop_signal: S) -> Result<()>
 where
     S: Future<Output = ()>,
 {
@@ -67,13 +68,13 @@
     let running = RunningNode::start(builder).await?;
     start::wait_ready(&running.node).await;
     let pool = ConnectionPool::for_targets(Arc::new(SystemClock));
-    ask(&pool, admin, Method::POST, "/v1/changes", TRIAL_CHANGE).await?;
-    let target = serve_target().await?;
+    send_request(&pool, admin, Method::POST, "/v1/changes", TRIAL_CHANGE).await?;
+    let target = start_target().await?;
     tokio::spawn(announce_task(pool.clone(), admin, target));
     let answer = loop {
-        match ask(&pool, ingress, Method::GET, "/", "").await {
+        match send_request(&pool, ingress, Method::GET, "/", "").await {
             Ok(answer) => break answer,
-            // The announcement may take a moment longer than the change.
+            // The change may be in force before the target is announced.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     };
@@ -82,7 +83,7 @@
         answer.trim_end()
     );
     println!("trial: the resource API listens on http://{admin}; end with Ctrl-C");
-    stop.await;
+    stop_signal.await;
     running.stop().await;
     Ok(())
 }
@@ -90,12 +91,13 @@
 async fn announce_task(pool: ConnectionPool, admin: SocketAddr, target: SocketAddr) {
     let announcement = format!(r#"{{"service":"hello","address":"{target}","slots":6}}"#);
     loop {
-        let _ = ask(&pool, admin, Method::POST, "/v1/targets", &announcement).await;
+        let _ = send_request(&pool, admin, Method::POST, "/v1/targets", &announcement).await;
         tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
-async fn serve_target() -> Result<SocketAddr> {
+/// Starts the sample target and returns its address.
+async fn start_target() -> Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
@@ -117,7 +119,9 @@
     Ok(Response::new(full(Bytes::from(text))))
 }
 
-async fn ask(
+/// Sends one request and returns the body of the answer, or an error unless the
+/// status is a success.
+async fn send_request(
     pool: &ConnectionPool,
     address: SocketAddr,
     method: Method,
@@ -129,8 +133,8 @@
         .uri(path)
         .header(hyper::header::HOST, address.to_string())
         .body(full(Bytes::copy_from_slice(body.as_bytes())))?;
-    let mut link = pool.acquire(address).await?;
-    let response = match exchange::send(&mut link, request).await {
+    let mut connection = pool.acquire(address).await?;
+    let response = match exchange::send(&mut connection, request).await {
         Ok(response) => response,
         Err(ExchangeError::Unsent(_)) => return Err(eyre!("connection closed")),
         Err(ExchangeError::Lost(error)) => return Err(error.into()),
