--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,6 @@
-//! What the decisions cost at 170 services and 1,100 nodes.
+//! Benchmarks of the decisions at 170 services and 1,100 nodes: how long it takes to fold
+//! changes, build views, choose targets and merge member tables, and how large messages,
+//! snapshots and claim tables are.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -26,7 +28,7 @@
 
 const NODES: u16 = 1_100;
 const SERVICES: u16 = 170;
-const PLACES: u16 = 7;
+const DATA_CENTRES: u16 = 7;
 
 fn service_name(number: u16) -> ServiceName {
     format!("service-{number}").parse().expect("a name")
@@ -36,7 +38,8 @@
     serde_json::from_value(value).expect("a resource")
 }
 
-fn change(id: u128, number: u16) -> Vec<u8> {
+/// Returns the encoded record of a change that puts a service and a route to it.
+fn change_record(id: u128, number: u16) -> Vec<u8> {
     let name = service_name(number);
     let service = json!({ "kind": "service", "name": name, "permit": ["127.0.0.0/8"] });
     let route = json!({ "kind": "route", "name": name, "path": format!("/{name}"),
@@ -52,15 +55,17 @@
     change.encode().expect("a record").to_vec()
 }
 
-fn full_state() -> ConfigState {
+/// Returns a configuration with [`SERVICES`] services and their routes.
+fn config_with_all_services() -> ConfigState {
     let mut state = ConfigState::new();
     for number in 0..SERVICES {
-        state.fold(&change(number.into(), number));
+        state.fold(&change_record(number.into(), number));
     }
     state
 }
 
-fn member(number: u16) -> MemberRecord {
+/// Returns the record of a live member with one target.
+fn member_record(number: u16) -> MemberRecord {
     let [high, low] = number.to_be_bytes();
     let address = NodeAddress::from(([127, 1, high, low], 7083));
     MemberRecord {
@@ -69,7 +74,7 @@
         sequence: Sequence(3),
         state: MemberState::Alive,
         region: format!("region-{}", number % 3).parse().expect("a name"),
-        data_centre: format!("place-{}", number % PLACES)
+        data_centre: format!("place-{}", number % DATA_CENTRES)
             .parse()
             .expect("a name"),
         hop: address,
@@ -85,9 +90,10 @@
     }
 }
 
-/// Returns a claim stream with as many live keys as a keeper holds.
-fn many_claims() -> ClaimTable {
-    let mut fold = ClaimTable::default();
+/// Returns a claim table that is full: it has as many live keys as a keeper accepts per
+/// stream.
+fn full_claim_table() -> ClaimTable {
+    let mut claims = ClaimTable::default();
     for first in (0..MAX_KEYS_PER_STREAM as u128).step_by(1_000) {
         let claim = |key| ClaimItem::Claim {
             key: KeyHash(key),
@@ -107,11 +113,12 @@
         if first == 0 {
             println!("a batch of 1000 claims takes {} bytes", record.len());
         }
-        fold.apply(&record);
+        claims.apply(&record);
     }
-    fold
+    claims
 }
 
+/// Returns the resident set size of this process in kB.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     status
@@ -123,30 +130,30 @@
 
 fn decisions(criterion: &mut Criterion) {
     let now = Instant::now();
-    let state = full_state();
-    let members: Vec<MemberRecord> = (0..NODES).map(member).collect();
+    let state = config_with_all_services();
+    let members: Vec<MemberRecord> = (0..NODES).map(member_record).collect();
     let mut table = MemberTable::new(members[0].clone(), now);
     for member in &members {
         table.merge(member.clone(), now);
     }
-    let size = encode(&members).expect("a message").len();
-    println!("a full exchange of {NODES} members takes {size} bytes");
+    let exchange_bytes = encode(&members).expect("a message").len();
+    println!("a full exchange of {NODES} members takes {exchange_bytes} bytes");
     let snapshot = encode_snapshot(&state).expect("a snapshot");
     println!(
         "a snapshot of {SERVICES} services takes {} bytes",
         snapshot.len()
     );
 
-    let before = resident_kb();
-    let fold = many_claims();
+    let resident_kb_before = resident_kb();
+    let claims = full_claim_table();
     println!(
         "{} live keys take {} kB",
-        fold.len(),
-        resident_kb() - before
+        claims.len(),
+        resident_kb() - resident_kb_before
     );
-    drop(fold);
+    drop(claims);
 
-    let record = change(1 << 64, 7);
+    let record = change_record(1 << 64, 7);
     criterion.bench_function("fold a change", |bench| {
         bench.iter_batched(
             || state.clone(),
@@ -165,15 +172,15 @@
         bench.iter(|| config.find_route("any", "/service-99/tables").is_some());
     });
     let view = ServingView::build(Arc::clone(&config), &members, |_, _| now);
-    let name = service_name(7);
-    let (targets, policy) = (view.targets(&name), PolicySpec::default_for(name));
-    let place = NodeLocation {
+    let service = service_name(7);
+    let (targets, policy) = (view.targets(&service), PolicySpec::default_for(service));
+    let location = NodeLocation {
         region: members[0].region.clone(),
         data_centre: members[0].data_centre.clone(),
     };
     let (mut load, mut rng) = (ServiceLoad::default(), rand::rng());
     criterion.bench_function("choose a target", |bench| {
-        bench.iter(|| choose_target(&place, &targets, &policy, &mut load, &[], now, &mut rng));
+        bench.iter(|| choose_target(&location, &targets, &policy, &mut load, &[], now, &mut rng));
     });
     criterion.bench_function("merge a full exchange", |bench| {
         bench.iter_batched(
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -1,5 +1,5 @@
-//! All tests: tables and properties of the decisions, and whole meshes of
-//! real processes. See `docs/PROOFS.md` for what each of them proves.
+//! The integration tests: table tests and property tests of the library, and tests of whole
+//! meshes of node processes. See `docs/PROOFS.md` for what each of them proves.
 
 mod config_fold;
 mod document_rules;
