--- a/wisteriaturnd/src/gate/answer.rs
+++ b/wisteriaturnd/src/gate/answer.rs
@@ -28,8 +28,8 @@
 }
 
 impl NodeState {
-    /// Returns a response for a call without an answer from a target. If the
-    /// call was not run, its `Retry-After` is set to `after`.
+    /// Returns the same response as the function [`refusal`], with `after` as
+    /// `Retry-After` if the call was not run.
     pub fn refusal(
         &self,
         outcome: CallOutcome,
--- a/wisteriaturnd/src/gate/crash.rs
+++ b/wisteriaturnd/src/gate/crash.rs
@@ -1,8 +1,8 @@
 //! Detects crashed targets.
 //!
 //! When an exchange with a target fails, the target's process may have crashed,
-//! and the request may be the cause. The request then becomes suspect, and the
-//! target is withdrawn.
+//! and the request may be the cause. If the process is gone, the target is
+//! withdrawn and the request becomes suspect.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -118,7 +118,7 @@
             ClaimOutcome::Won => {}
             ClaimOutcome::Lost(holder) => {
                 guard.finish(CallResult::Refused(RefusalReason::ClaimLost));
-                return ask_holder(node, &call, holder).await;
+                return inquire_holder(node, &call, holder).await;
             }
             ClaimOutcome::Unavailable => {
                 // The claim may still be written to the log, so release it.
@@ -309,7 +309,11 @@
 }
 
 /// Responds with the result of the run that holds the idempotency key.
-async fn ask_holder(node: &NodeHandle, call: &GateCall, holder: ClaimHolder) -> Response<NodeBody> {
+async fn inquire_holder(
+    node: &NodeHandle,
+    call: &GateCall,
+    holder: ClaimHolder,
+) -> Response<NodeBody> {
     let inquiry = async {
         if holder.hop == node.settings.hop {
             if holder.boot_id != node.boot_id {
--- a/wisteriaturnd/src/http/pool.rs
+++ b/wisteriaturnd/src/http/pool.rs
@@ -61,8 +61,8 @@
 }
 
 impl PooledConnection {
-    /// Shortens the idle timeout to the one that the other side announces with
-    /// `Keep-Alive: timeout=N`.
+    /// Sets the idle timeout to slightly less than the one that the other side
+    /// announces with `Keep-Alive: timeout=N`, but at most [`IDLE_TIMEOUT`].
     pub fn apply_keep_alive(&mut self, headers: &HeaderMap) {
         let announced = headers::text(headers, &KEEP_ALIVE).and_then(|text| {
             text.split(',')
