--- a/tests/integration/process_once.rs
+++ b/tests/integration/process_once.rs
@@ -1,4 +1,5 @@
-//! Calls that must run at most once, and `not-run` that must be true.
+//! At-most-once execution of calls with idempotency keys, and the guarantee that a
+//! call reported as `not-run` has not run.
 
 use std::net::SocketAddr;
 
@@ -7,9 +8,13 @@
 use wisteriaturn_testing::client::{self, HttpReply};
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 
-async fn book(ingress: SocketAddr, id: &str, more: &[(&str, &str)]) -> Result<HttpReply> {
+async fn post_job(
+    ingress: SocketAddr,
+    id: &str,
+    extra_headers: &[(&str, &str)],
+) -> Result<HttpReply> {
     let mut headers = vec![("idempotency-key", id), ("x-run", id)];
-    headers.extend_from_slice(more);
+    headers.extend_from_slice(extra_headers);
     client::send(ingress, "POST", "/dispatch/jobs", &headers, b"{}").await
 }
 
@@ -38,7 +43,7 @@
     for copy in 0..12 {
         let ingress = cluster.ingress(copy % 4);
         calls.push(tokio::spawn(async move {
-            book(ingress, "job-1", &[("x-sleep-ms", "100")]).await
+            post_job(ingress, "job-1", &[("x-sleep-ms", "100")]).await
         }));
     }
     let mut bodies = std::collections::HashSet::new();
@@ -52,43 +57,47 @@
         );
         bodies.insert(reply.text());
     }
-    assert_eq!(bodies.len(), 1, "all callers get the one run's answer");
+    assert_eq!(
+        bodies.len(),
+        1,
+        "all callers get the answer of the only run"
+    );
     assert_eq!(cluster.run_counts()["job-1"], 1);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_outlives_the_node_that_ran_it() -> Result<()> {
+async fn a_key_stays_claimed_after_its_node_restarts() -> Result<()> {
     let mut cluster = dispatch_cluster(4, 3).await?;
-    let first = book(cluster.ingress(3), "job-2", &[]).await?;
+    let first = post_job(cluster.ingress(3), "job-2", &[]).await?;
     assert_eq!(first.outcome(), "done");
-    let runner = (0..3)
+    let executor = (0..3)
         .find(|index| {
             first
                 .text()
                 .contains(&cluster.target_address(*index).to_string())
         })
         .expect("one of the targets answered");
-    cluster.kill_node(runner);
-    cluster.start_node(runner)?;
-    cluster.wait_node_ready(runner).await?;
+    cluster.kill_node(executor);
+    cluster.start_node(executor)?;
+    cluster.wait_node_ready(executor).await?;
 
-    let again = book(cluster.ingress(3), "job-2", &[]).await?;
+    let repeated = post_job(cluster.ingress(3), "job-2", &[]).await?;
 
-    assert_eq!(again.outcome(), "unknown", "{}", again.text());
+    assert_eq!(repeated.outcome(), "unknown", "{}", repeated.text());
     assert_eq!(cluster.run_counts()["job-2"], 1);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn claims_wait_for_the_log_and_are_then_refused() -> Result<()> {
+async fn claims_are_refused_when_the_log_is_down() -> Result<()> {
     let cluster = dispatch_cluster(3, 2).await?;
-    book(cluster.ingress(2), "job-3", &[]).await?;
+    post_job(cluster.ingress(2), "job-3", &[]).await?;
     cluster.set_log_behaviour(r#"{"outage":true}"#).await?;
 
-    let refused = book(cluster.ingress(2), "job-4", &[]).await?;
+    let refused = post_job(cluster.ingress(2), "job-4", &[]).await?;
     assert_eq!(
         (refused.status, refused.outcome()),
         (503, "not-run"),
@@ -97,14 +106,14 @@
     );
     assert_eq!(refused.header("retry-after"), "1");
     assert!(!cluster.run_counts().contains_key("job-4"));
-    // A call without a key needs no log.
-    let plain = client::send(cluster.ingress(2), "POST", "/dispatch", &[], b"").await?;
-    assert_eq!(plain.outcome(), "done");
+    // A call without a key doesn't need the log.
+    let without_key = client::send(cluster.ingress(2), "POST", "/dispatch", &[], b"").await?;
+    assert_eq!(without_key.outcome(), "done");
 
     cluster.set_log_behaviour("{}").await?;
     cluster
         .wait_for("the refused key to be free again", async || {
-            let reply = book(cluster.ingress(2), "job-4", &[]).await;
+            let reply = post_job(cluster.ingress(2), "job-4", &[]).await;
             reply.is_ok_and(|reply| reply.outcome() == "done")
         })
         .await?;
@@ -114,7 +123,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_and_late_claim_answers_run_nothing_twice() -> Result<()> {
+async fn lost_and_late_log_responses_cause_no_second_run() -> Result<()> {
     let cluster = dispatch_cluster(3, 2).await?;
     for number in 0..10 {
         let behaviour = match number % 3 {
@@ -125,7 +134,7 @@
         cluster.set_log_behaviour(behaviour).await?;
         let id = format!("job-5-{number}");
         for copy in 0..3 {
-            let reply = book(cluster.ingress(copy), &id, &[]).await?;
+            let reply = post_job(cluster.ingress(copy), &id, &[]).await?;
             assert_eq!(reply.outcome(), "done", "{}", reply.text());
         }
         assert_eq!(cluster.run_counts()[&id], 1);
@@ -135,10 +144,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gate_that_was_frozen_runs_nothing_that_was_revoked() -> Result<()> {
+async fn a_resumed_gate_does_not_run_a_revoked_call() -> Result<()> {
     let mut cluster = dispatch_cluster(3, 1).await?;
-    // Opens the connection between the nodes, so that the next call is written
-    // into it while the gate is frozen.
+    // Opens the connection between the nodes, so that the next call is written to
+    // it while the gate is frozen.
     let headers = [("x-run", "warm")];
     client::send(cluster.ingress(1), "POST", "/dispatch", &headers, b"").await?;
     cluster.node_process(0).send_signal("STOP");
@@ -169,12 +178,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_crashes_targets_is_stopped_after_two() -> Result<()> {
+async fn a_request_that_crashes_two_targets_is_quarantined() -> Result<()> {
     let mut cluster = dispatch_cluster(4, 4).await?;
     let page = [("x-run", "page")];
     let mut lost = 0;
     loop {
-        // A page that many read must not be held for the culprit.
+        // A frequently requested page must not be quarantined along with the
+        // crashing request.
         let good = client::send(cluster.ingress(3), "GET", "/dispatch/page", &page, b"").await?;
         assert_eq!(good.outcome(), "done", "{}", good.text());
         let bad = [("x-crash", "1"), ("x-run", "bad")];
@@ -184,7 +194,7 @@
             assert_eq!(reply.outcome(), "not-run");
             break;
         }
-        // A call to a target that is down already is refused and costs none.
+        // A call to a target that is already down is refused and crashes no target.
         lost += usize::from(reply.outcome() == "unknown");
         assert!(lost <= 2, "{}", reply.text());
     }
--- a/tests/integration/process_path.rs
+++ b/tests/integration/process_path.rs
@@ -1,4 +1,5 @@
-//! The whole path as separate processes: log, nodes, targets, tool, caller.
+//! The complete path of a call through separate processes: the log, nodes, targets,
+//! the command-line tool and a caller.
 
 use std::process::Command;
 
@@ -42,10 +43,10 @@
     assert_eq!(reply.outcome(), "done");
     assert_eq!(reply.json()["path"], json!("/portal/index"));
     let output = std::fs::read_to_string(cluster.output_path(1))?;
-    let decision = output.lines().find(|line| line.contains("event=route"));
+    let route_line = output.lines().find(|line| line.contains("event=route"));
     let expected = format!("target={}", cluster.peer(0));
     assert!(
-        decision.is_some_and(|line| line.contains(&expected)),
+        route_line.is_some_and(|line| line.contains(&expected)),
         "{output}"
     );
     cluster.remove_folder();
@@ -53,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_logs_lead_from_a_request_to_what_became_of_it() -> Result<()> {
+async fn the_why_command_finds_the_result_of_a_request_in_the_logs() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         ..ClusterPlan::default()
@@ -68,7 +69,7 @@
     };
     assert_eq!(call("served-1", "/portal").await?.status, 200);
     assert_eq!(call("lost-1", "/nowhere").await?.status, 404);
-    // Each of the three kinds of end is found from the request's name alone.
+    // The result of each request is found by its request ID alone.
     let cases = [
         (
             "served-1",
@@ -85,7 +86,7 @@
         ),
     ];
     for (request, expected) in cases {
-        let why = || {
+        let run_why = || {
             Command::new(program_path("wisteriaturn")?)
                 .args(["why", request])
                 .args([cluster.output_path(0), cluster.output_path(1)])
@@ -93,9 +94,9 @@
                 .map_err(eyre::Report::from)
         };
         cluster
-            .wait_for("the lines to be written", async || {
-                why().is_ok_and(|said| {
-                    let text = String::from_utf8_lossy(&said.stdout).into_owned();
+            .wait_for("the log lines to be written", async || {
+                run_why().is_ok_and(|output| {
+                    let text = String::from_utf8_lossy(&output.stdout).into_owned();
                     expected.iter().all(|word| text.contains(word))
                 })
             })
--- a/tests/integration/process_pipeline.rs
+++ b/tests/integration/process_pipeline.rs
@@ -1,4 +1,5 @@
-//! Reads that a caller sends together run together, and are answered in order.
+//! HTTP pipelining: reads that a caller sends together run concurrently and are
+//! answered in order.
 
 use eyre::Result;
 use serde_json::json;
@@ -7,7 +8,7 @@
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reads_sent_together_run_together_and_are_answered_in_order() -> Result<()> {
+async fn pipelined_reads_run_concurrently_and_are_answered_in_order() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 1,
         ..ClusterPlan::default()
@@ -25,12 +26,17 @@
     }
     stream.write_all(requests.as_bytes()).await?;
     cluster
-        .wait_for("all three to run", async || cluster.run_counts().len() == 3)
+        .wait_for("all three calls to run", async || {
+            cluster.run_counts().len() == 3
+        })
         .await?;
     let mut byte = [0];
     let read = stream.try_read(&mut byte);
     let is_waiting = read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-    assert!(is_waiting, "the first one still runs when the others have");
+    assert!(
+        is_waiting,
+        "the first call still runs after the others have run"
+    );
     let mut answers = String::new();
     while answers.matches("HTTP/1.1 200").count() < 3 {
         let mut buffer = [0; 4096];
@@ -38,11 +44,11 @@
         assert!(length > 0, "closed after {answers}");
         answers += &String::from_utf8_lossy(&buffer[..length]);
     }
-    let calls: Vec<usize> = ["first", "second", "third"]
+    let run_counts: Vec<usize> = ["first", "second", "third"]
         .iter()
         .map(|name| cluster.run_counts().get(*name).copied().unwrap_or_default())
         .collect();
-    assert_eq!(calls, [1, 1, 1], "each ran once");
+    assert_eq!(run_counts, [1, 1, 1], "each call ran once");
     cluster.remove_folder();
     Ok(())
 }
--- a/tests/integration/process_routing.rs
+++ b/tests/integration/process_routing.rs
@@ -1,5 +1,5 @@
-//! Where calls go: near first, further when the near is loaded, away from a
-//! target that fails.
+//! Target selection: calls prefer near targets, spill over to farther ones under
+//! load, and avoid targets that fail.
 
 use std::collections::HashMap;
 
@@ -9,8 +9,8 @@
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 use wisteriaturn_testing::metrics;
 
-/// Two data centres with a target of two slots each.
-async fn two_places() -> Result<TestCluster> {
+/// Starts a cluster of two data centres that each have one target with two slots.
+async fn start_two_data_centres() -> Result<TestCluster> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         data_centres: 2,
@@ -42,8 +42,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_stay_near_until_the_near_is_loaded() -> Result<()> {
-    let cluster = two_places().await?;
+async fn calls_stay_in_the_data_centre_until_its_target_is_loaded() -> Result<()> {
+    let cluster = start_two_data_centres().await?;
     let (near, far) = (
         cluster.target_address(0).to_string(),
         cluster.target_address(1).to_string(),
@@ -69,11 +69,11 @@
     }
     assert!(
         count_by_target(&replies).contains_key(&far),
-        "none went further"
+        "no call went to the other data centre"
     );
-    // With the load gone, calls come back.
+    // Once the load is gone, calls return to the near target.
     cluster
-        .wait_for("calls to come back", async || {
+        .wait_for("calls to return to the near target", async || {
             let reply = client::get(cluster.ingress(0), "/portal").await;
             reply.is_ok_and(|reply| reply.json()["target"] == json!(near))
         })
@@ -84,12 +84,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_hangs_is_ejected() -> Result<()> {
-    let mut cluster = two_places().await?;
+    let mut cluster = start_two_data_centres().await?;
     let policy = json!([{ "put": { "kind": "policy", "service": "portal",
         "eject_after": 2, "eject_base_ms": 60000 } }]);
     let version = cluster.apply_accepted(0, policy).await?;
     cluster.wait_version(version).await?;
-    // Its node still vouches for it: only the calls show that it hangs.
+    // Its node still advertises it as available; only calls reveal that it hangs.
     cluster.target_process(0).send_signal("STOP");
     cluster
         .wait_for("the hanging target to be ejected", async || {
