--- a/wisteriaturnd/src/mesh/directory.rs
+++ b/wisteriaturnd/src/mesh/directory.rs
@@ -1,8 +1,9 @@
-//! Finding other nodes through a directory.
+//! Discovery of other nodes through a directory.
 //!
-//! A node writes its entry when it starts and reads the others' after that.
-//! From then on members tell each other; the directory is read again now and
-//! then, so that two halves which started apart find each other.
+//! A node publishes its entry when it starts and then reads the entries of the
+//! others. After that, members learn about each other by gossip. The directory
+//! is still read periodically, so that two parts of the mesh that started
+//! without knowing each other are joined.
 
 use std::time::Duration;
 
@@ -17,29 +18,31 @@
 use crate::mesh::peer_client::merge_records;
 use crate::node::NodeHandle;
 
-/// Pauses after a failed write or read grow between these bounds, with jitter.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
+/// Shortest and longest pause, before jitter, after an attempt to register that
+/// failed.
+const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
 
-/// Time between two reads by a node that knows others: reads are billed, and a
-/// split of the mesh is rare.
-const REFRESH_TIME: Duration = Duration::from_secs(60);
+/// Time between two reads of the directory. Reads are billed, and a split of the
+/// mesh is rare.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Time that a member must have been gone before its entry is removed; well
-/// above a restart.
-const GONE_TIME: Duration = Duration::from_secs(60);
+/// How long the directory entry of a dead or left member is kept. A restart
+/// takes much less, so it does not remove the entry.
+const ENTRY_RETENTION: Duration = Duration::from_secs(60);
 
-/// Writes the own entry and keeps looking for others while the node runs.
+/// Registers this node in the directory, then periodically discovers other
+/// nodes and removes stale entries, for as long as the node runs.
 pub async fn directory_task(node: NodeHandle, port: DirectoryPort) {
-    let mut backoff = BACKOFF.0;
-    while let Err(error) = enter(&node, &port).await {
+    let mut backoff = BACKOFF_RANGE.0;
+    while let Err(error) = register(&node, &port).await {
         log::warn!(event = "directory-entry-failed", error:% = error; "member");
         tokio::time::sleep(jittered(backoff)).await;
-        backoff = (backoff * 2).min(BACKOFF.1);
+        backoff = (backoff * 2).min(BACKOFF_RANGE.1);
     }
     loop {
-        tokio::time::sleep(jittered(REFRESH_TIME)).await;
+        tokio::time::sleep(jittered(REFRESH_INTERVAL)).await;
         match discover_members(&node, &port).await {
-            Ok(records) => remove_gone(&node, &port, &records).await,
+            Ok(records) => remove_stale_entries(&node, &port, &records).await,
             Err(error) => {
                 log::warn!(event = "directory-read-failed", error:% = error; "member");
             }
@@ -47,21 +50,22 @@
     }
 }
 
-/// Writes the own entry and reads the others' after that. Of two nodes that
-/// start together, the one that writes last then sees the other; were they to
-/// read before they write, neither might, until they read again.
-async fn enter(node: &NodeHandle, port: &DirectoryPort) -> Result<(), LogError> {
+/// Publishes the entry of this node and then reads the others. If two nodes
+/// start at the same time, the one that publishes last sees the other. If they
+/// read before they published, each could miss the other until the next read.
+async fn register(node: &NodeHandle, port: &DirectoryPort) -> Result<(), LogError> {
     let record = lock(&node.table).own().clone();
     port.publish(record).await?;
     discover_members(node, port).await?;
     Ok(())
 }
 
-/// Reads the directory and takes its entries as members, to be probed.
+/// Reads the directory and merges its entries into the member table, so that
+/// they are probed. Returns the entries.
 ///
 /// # Errors
 ///
-/// [`LogError`] when the directory does not answer.
+/// Returns [`LogError`] if the directory cannot be read.
 pub async fn discover_members(
     node: &NodeHandle,
     port: &DirectoryPort,
@@ -72,9 +76,11 @@
     Ok(records)
 }
 
-/// One node, the same in all tables that agree, removes entries of the dead.
-async fn remove_gone(node: &NodeHandle, port: &DirectoryPort, records: &[MemberRecord]) {
-    let gone: Vec<NodeAddress> = {
+/// Removes the entries of members that have been dead or left for
+/// [`ENTRY_RETENTION`]. Only the member that writes snapshots does this; nodes
+/// with equal member tables agree on which one that is.
+async fn remove_stale_entries(node: &NodeHandle, port: &DirectoryPort, records: &[MemberRecord]) {
+    let stale: Vec<NodeAddress> = {
         let table = lock(&node.table);
         if snapshot_writer(&table) != Some(node.address()) {
             return;
@@ -85,12 +91,12 @@
             .filter_map(|record| table.get(record.address))
             .filter(|entry| {
                 !entry.record.is_live()
-                    && now.saturating_duration_since(entry.updated_at) >= GONE_TIME
+                    && now.saturating_duration_since(entry.updated_at) >= ENTRY_RETENTION
             })
             .map(|entry| entry.record.address)
             .collect()
     };
-    for address in gone {
+    for address in stale {
         match port.remove(address).await {
             Ok(()) => log::info!(event = "directory-removed", member:% = address; "member"),
             Err(error) => {
--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -1,5 +1,7 @@
-//! Datagrams: sending and receiving them, and what probes and pushed records
-//! lead to. News is in [`crate::mesh::rumors`].
+//! Sending and handling of datagrams: probes and configuration records.
+//!
+//! Rumors, which are piggybacked on probes or sent on their own, are handled in
+//! [`crate::mesh::rumors`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,14 +26,16 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
-/// Bytes of IP and UDP headers, counted so that control bytes are what the
-/// network carries.
-const HEADER_BYTES: usize = 28;
+/// Size of the IPv4 and UDP headers of a datagram. They are included in the
+/// count of control bytes, which is what the network carries.
+const UDP_HEADER_BYTES: usize = 28;
 
-/// Largest record that goes along in a datagram.
-const INLINE_LIMIT: usize = MAX_DATAGRAM_BYTES - TAG_LENGTH - 32;
+/// Largest configuration record that is sent within a datagram. A larger one
+/// is only announced, and the receiver pulls it.
+const MAX_INLINE_RECORD_BYTES: usize = MAX_DATAGRAM_BYTES - TAG_LENGTH - 32;
 
-/// Sends a datagram; a loss is found by the next probe.
+/// Sends a datagram. Errors are ignored: what a lost datagram carried is
+/// recovered after a later probe.
 pub async fn send(node: &NodeState, to: SocketAddr, datagram: &Datagram, kind: TrafficKind) {
     let Ok(message) = encode(datagram) else {
         return;
@@ -41,24 +45,27 @@
         node.metrics.record_drop("datagram-too-large");
         return;
     }
-    node.record_sent(kind, to, sealed.len() + HEADER_BYTES);
+    node.record_sent(kind, to, sealed.len() + UDP_HEADER_BYTES);
     let _ = node.udp.send_to(&sealed, node.addresses.map(to)).await;
 }
 
-/// Sends a ping and returns what the other node says of itself, if it answers.
+/// Pings a node and returns its status, or `None` if it does not answer within
+/// `wait`.
 pub async fn ping(node: &NodeState, to: NodeAddress, wait: Duration) -> Option<NodeStatus> {
     let nonce = rand::random();
-    let receiver = expect_ack(node, nonce);
+    let receiver = register_ping(node, nonce);
     let datagram = Datagram::Ping {
         nonce,
         status: node.status(),
         rumors: lock(&node.rumors).take(MAX_RUMOR_BYTES),
     };
     send(node, to, &datagram, TrafficKind::Probe).await;
-    wait_ack(node, nonce, receiver, wait).await
+    wait_for_ack(node, nonce, receiver, wait).await
 }
 
-/// Asks others to ping a node; returns whether one of them reached it.
+/// Asks `helpers` to ping `target` on behalf of this node (an indirect probe).
+/// Returns `true` if at least one of them reports within `wait` that it
+/// answered.
 pub async fn ping_indirectly(
     node: &NodeState,
     helpers: &[NodeAddress],
@@ -66,7 +73,7 @@
     wait: Duration,
 ) -> bool {
     let nonce = rand::random();
-    let receiver = expect_ack(node, nonce);
+    let receiver = register_ping(node, nonce);
     for helper in helpers {
         send(
             node,
@@ -76,16 +83,16 @@
         )
         .await;
     }
-    wait_ack(node, nonce, receiver, wait).await.is_some()
+    wait_for_ack(node, nonce, receiver, wait).await.is_some()
 }
 
-fn expect_ack(node: &NodeState, nonce: u64) -> oneshot::Receiver<NodeStatus> {
+fn register_ping(node: &NodeState, nonce: u64) -> oneshot::Receiver<NodeStatus> {
     let (sender, receiver) = oneshot::channel();
     lock(&node.pending_pings).insert(nonce, sender);
     receiver
 }
 
-async fn wait_ack(
+async fn wait_for_ack(
     node: &NodeState,
     nonce: u64,
     receiver: oneshot::Receiver<NodeStatus>,
@@ -96,7 +103,7 @@
     answer.ok()?.ok()
 }
 
-fn answer_pending(node: &NodeState, nonce: u64, status: NodeStatus) {
+fn complete_ping(node: &NodeState, nonce: u64, status: NodeStatus) {
     if let Some(sender) = lock(&node.pending_pings).remove(&nonce) {
         let _ = sender.send(status);
     }
@@ -109,7 +116,8 @@
         let (length, from) = match node.udp.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                // Linux reports an earlier send to a closed port here.
+                // Linux reports here that an earlier datagram was sent to a
+                // closed port.
                 log::debug!(event = "udp-error", error:% = error; "peer");
                 continue;
             }
@@ -124,23 +132,23 @@
         };
         node.record_contact();
         match decode(message) {
-            Ok(datagram) => receive(&node, from, datagram).await,
+            Ok(datagram) => handle_datagram(&node, from, datagram).await,
             Err(_) => node.metrics.record_drop("datagram-malformed"),
         }
     }
 }
 
-async fn receive(node: &NodeHandle, from: SocketAddr, datagram: Datagram) {
+async fn handle_datagram(node: &NodeHandle, from: SocketAddr, datagram: Datagram) {
     match datagram {
         Datagram::Ping {
             nonce,
             status,
             rumors,
         } => {
-            note_status(node, from, status);
+            handle_status(node, from, status);
             rumors::receive(node, from, rumors, false).await;
             let mut rumors = lock(&node.rumors).take(MAX_RUMOR_BYTES);
-            rumors.extend(standing_of(node, from));
+            rumors.extend(refutable_rumor(node, from));
             let answer = Datagram::Ack {
                 nonce,
                 status: node.status(),
@@ -153,16 +161,18 @@
             status,
             rumors,
         } => {
-            answer_pending(node, nonce, status);
-            note_status(node, from, status);
+            complete_ping(node, nonce, status);
+            handle_status(node, from, status);
             rumors::receive(node, from, rumors, false).await;
         }
         Datagram::IndirectPing { nonce, target } => {
-            tokio::spawn(ping_for(node.clone(), from, nonce, target));
+            tokio::spawn(ping_on_behalf(node.clone(), from, nonce, target));
         }
-        Datagram::IndirectAck { nonce } => answer_pending(node, nonce, node.status()),
+        // The waiting probe only needs to know that the target answered. The
+        // datagram carries no status, so this node's own stands in for it.
+        Datagram::IndirectAck { nonce } => complete_ping(node, nonce, node.status()),
         Datagram::Record { version, record } => {
-            receive_record(node, from, version, record).await;
+            handle_record(node, from, version, record).await;
         }
         Datagram::ReaderHeartbeat { version, position } => {
             documents::handle_heartbeat(node, from, version, position);
@@ -171,7 +181,7 @@
     }
 }
 
-async fn ping_for(node: NodeHandle, asker: SocketAddr, nonce: u64, target: NodeAddress) {
+async fn ping_on_behalf(node: NodeHandle, requester: SocketAddr, nonce: u64, target: NodeAddress) {
     if lock(&node.table).get(target).is_none() {
         return;
     }
@@ -179,7 +189,7 @@
     if ping(&node, target, wait).await.is_some() {
         send(
             &node,
-            asker,
+            requester,
             &Datagram::IndirectAck { nonce },
             TrafficKind::Probe,
         )
@@ -187,15 +197,18 @@
     }
 }
 
-/// Returns what this node holds against the sender, so that it can refute.
-fn standing_of(node: &NodeState, address: SocketAddr) -> Option<Rumor> {
+/// Returns a rumor with the record of a node that this node believes to be
+/// suspect, dead or left, so that the node can refute it.
+fn refutable_rumor(node: &NodeState, address: SocketAddr) -> Option<Rumor> {
     let table = lock(&node.table);
     let record = &table.get(address)?.record;
     (record.state != MemberState::Alive).then(|| Rumor::Member(record.clone()))
 }
 
-/// Compares the state of another node with the own one.
-fn note_status(node: &NodeHandle, from: SocketAddr, status: NodeStatus) {
+/// Records the configuration version of another node and pulls a newer one if
+/// [`NodeState::should_pull`] allows it. Nodes with equal versions must have
+/// equal hash chains.
+fn handle_status(node: &NodeHandle, from: SocketAddr, status: NodeStatus) {
     lock(&node.table).record_held_version(from, status.version);
     let own = node.status();
     if status.version > own.version && node.should_pull(status.version) {
@@ -206,7 +219,7 @@
     }
 }
 
-async fn receive_record(
+async fn handle_record(
     node: &NodeHandle,
     from: SocketAddr,
     version: ConfigVersion,
@@ -225,7 +238,8 @@
     }
 }
 
-/// Folds one record and puts the result in force.
+/// Folds a configuration record into the store and publishes the resulting
+/// view.
 pub fn apply_record(node: &NodeState, version: ConfigVersion, record: &Bytes) -> FoldOutcome {
     let step = lock(&node.store).fold(version, record);
     if let FoldOutcome::Folded(verdict) = &step {
@@ -235,27 +249,29 @@
     step
 }
 
-/// Pushes a configuration record to a few nodes of the data centre.
+/// Pushes a configuration record to a few random nodes of the data centre.
 pub async fn push_record(node: &NodeState, version: ConfigVersion, record: &Bytes) {
     let datagram = Datagram::Record {
         version,
-        record: (record.len() <= INLINE_LIMIT).then(|| record.clone()),
+        record: (record.len() <= MAX_INLINE_RECORD_BYTES).then(|| record.clone()),
     };
     for peer in fanout_peers(node) {
         send(node, peer, &datagram, TrafficKind::Push).await;
     }
 }
 
-/// Returns a few random nodes of the data centre.
+/// Returns as many random live members of the data centre as the gossip fanout,
+/// or all others if there are fewer.
 pub fn fanout_peers(node: &NodeState) -> Vec<NodeAddress> {
     let fanout = node.settings.tuning.fanout;
     random_peers(&lock(&node.table), fanout, &mut rand::rng())
 }
 
-/// Joins members into the view when they changed, but not on every change: a
-/// herd of restarts would have every node build hundreds of views a second.
+/// Rebuilds the view when members have changed, but at most once per
+/// `MIN_REBUILD_INTERVAL`. Otherwise every node would build hundreds of views a
+/// second while many nodes restart at once.
 pub async fn view_task(node: NodeHandle) {
-    const LEAST_INTERVAL: Duration = Duration::from_millis(20);
+    const MIN_REBUILD_INTERVAL: Duration = Duration::from_millis(20);
     loop {
         node.members_changed.notified().await;
         node.publish_view();
@@ -271,6 +287,6 @@
         };
         node.metrics.members.set(live as i64);
         node.update_retry_budgets();
-        tokio::time::sleep(LEAST_INTERVAL).await;
+        tokio::time::sleep(MIN_REBUILD_INTERVAL).await;
     }
 }
--- a/wisteriaturnd/src/mesh/handshake.rs
+++ b/wisteriaturnd/src/mesh/handshake.rs
@@ -1,10 +1,10 @@
-//! How two nodes prove to each other that they know the mesh key.
+//! Mutual authentication of two nodes that share a mesh key.
 //!
-//! Each side sends a random challenge and answers the other's with a keyed
-//! hash over both challenges, its role and the port's use. So an answer that
-//! was recorded is of no use later, on another port, or for the other role.
-//! The accepting side also states its life, which a caller needs to know
-//! whether a gate can still remember a call.
+//! Each side sends a random challenge and proves that it knows the key by a
+//! keyed hash over both challenges, its role and the kind of port. A recorded
+//! proof can therefore not be replayed on a later connection, on a port of the
+//! other kind or in the other role. The accepting side also sends its boot id,
+//! which tells the connecting side whether a gate can still remember a call.
 
 use std::time::Duration;
 
@@ -15,18 +15,19 @@
 
 use crate::error::LinkError;
 
-/// Time for the whole handshake.
+/// Time limit for the whole handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes of a challenge.
+/// Length of a challenge in bytes.
 const CHALLENGE_LENGTH: usize = 16;
 
-/// What a port is for; part of what is signed.
+/// The kind of port that a connection is made to. It is part of the signed
+/// transcript.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PortKind {
-    /// Messages between nodes.
+    /// Accepts the requests of other nodes.
     Peer,
-    /// Calls between nodes.
+    /// Accepts calls that other nodes forward to this node's gate.
     Hop,
 }
 
@@ -39,12 +40,13 @@
     }
 }
 
-/// Proves the key on a connection that this node opened, checks the other
-/// side's proof and returns its life.
+/// Performs the handshake on a connection that this node opened. Returns the
+/// boot id of the peer.
 ///
 /// # Errors
 ///
-/// [`LinkError`] when the connection fails or the proof does not hold.
+/// Returns [`LinkError`] if the connection fails, the handshake exceeds
+/// [`HANDSHAKE_TIMEOUT`] or the peer's proof is invalid.
 pub async fn connect<S>(
     stream: &mut S,
     keys: &MeshKeys,
@@ -53,10 +55,10 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    timeout(HANDSHAKE_TIMEOUT, connect_now(stream, keys, port)).await?
+    timeout(HANDSHAKE_TIMEOUT, connect_inner(stream, keys, port)).await?
 }
 
-async fn connect_now<S>(
+async fn connect_inner<S>(
     stream: &mut S,
     keys: &MeshKeys,
     port: PortKind,
@@ -64,62 +66,84 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let mine: [u8; CHALLENGE_LENGTH] = rand::random();
-    stream.write_all(&mine).await.map_err(unreachable)?;
+    let own_challenge: [u8; CHALLENGE_LENGTH] = rand::random();
+    stream
+        .write_all(&own_challenge)
+        .await
+        .map_err(unreachable)?;
     let mut hello = [0; CHALLENGE_LENGTH + 8 + TAG_LENGTH];
     stream.read_exact(&mut hello).await.map_err(unreachable)?;
-    let (theirs, rest) = hello.split_at(CHALLENGE_LENGTH);
-    let (life, proof) = rest.split_at(8);
-    if !keys.verify(&transcript(port, b"accept", &mine, theirs, life), proof) {
+    let (peer_challenge, rest) = hello.split_at(CHALLENGE_LENGTH);
+    let (boot_id, proof) = rest.split_at(8);
+    if !keys.verify(
+        &transcript(port, b"accept", &own_challenge, peer_challenge, boot_id),
+        proof,
+    ) {
         return Err(LinkError::Unauthenticated);
     }
-    let answer = keys.sign(&transcript(port, b"connect", theirs, &mine, life));
+    let answer = keys.sign(&transcript(
+        port,
+        b"connect",
+        peer_challenge,
+        &own_challenge,
+        boot_id,
+    ));
     stream.write_all(&answer).await.map_err(unreachable)?;
-    let life = life.try_into().unwrap_or_default();
-    Ok(BootId(u64::from_le_bytes(life)))
+    let boot_id = boot_id.try_into().unwrap_or_default();
+    Ok(BootId(u64::from_le_bytes(boot_id)))
 }
 
-/// Proves the key on a connection that this node accepted and checks the
-/// other side's proof.
+/// Performs the handshake on a connection that this node accepted. Sends
+/// `boot_id`, the boot id of this node, to the peer.
 ///
 /// # Errors
 ///
-/// [`LinkError`] when the connection fails or the proof does not hold.
+/// Returns [`LinkError`] if the connection fails, the handshake exceeds
+/// [`HANDSHAKE_TIMEOUT`] or the peer's proof is invalid.
 pub async fn accept<S>(
     stream: &mut S,
     keys: &MeshKeys,
     port: PortKind,
-    life: BootId,
+    boot_id: BootId,
 ) -> Result<(), LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    timeout(HANDSHAKE_TIMEOUT, accept_now(stream, keys, port, life)).await?
+    timeout(HANDSHAKE_TIMEOUT, accept_inner(stream, keys, port, boot_id)).await?
 }
 
-async fn accept_now<S>(
+async fn accept_inner<S>(
     stream: &mut S,
     keys: &MeshKeys,
     port: PortKind,
-    life: BootId,
+    boot_id: BootId,
 ) -> Result<(), LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let mut theirs = [0; CHALLENGE_LENGTH];
-    stream.read_exact(&mut theirs).await.map_err(unreachable)?;
-    let mine: [u8; CHALLENGE_LENGTH] = rand::random();
-    let life = life.0.to_le_bytes();
-    let proof = keys.sign(&transcript(port, b"accept", &theirs, &mine, &life));
+    let mut peer_challenge = [0; CHALLENGE_LENGTH];
+    stream
+        .read_exact(&mut peer_challenge)
+        .await
+        .map_err(unreachable)?;
+    let own_challenge: [u8; CHALLENGE_LENGTH] = rand::random();
+    let boot_id = boot_id.0.to_le_bytes();
+    let proof = keys.sign(&transcript(
+        port,
+        b"accept",
+        &peer_challenge,
+        &own_challenge,
+        &boot_id,
+    ));
     let mut hello = Vec::with_capacity(CHALLENGE_LENGTH + 8 + TAG_LENGTH);
-    hello.extend_from_slice(&mine);
-    hello.extend_from_slice(&life);
+    hello.extend_from_slice(&own_challenge);
+    hello.extend_from_slice(&boot_id);
     hello.extend_from_slice(&proof);
     stream.write_all(&hello).await.map_err(unreachable)?;
     let mut answer = [0; TAG_LENGTH];
     stream.read_exact(&mut answer).await.map_err(unreachable)?;
     if keys.verify(
-        &transcript(port, b"connect", &mine, &theirs, &life),
+        &transcript(port, b"connect", &own_challenge, &peer_challenge, &boot_id),
         &answer,
     ) {
         Ok(())
@@ -132,15 +156,25 @@
     LinkError::Unreachable(error.to_string())
 }
 
-fn transcript(port: PortKind, role: &[u8], one: &[u8], other: &[u8], life: &[u8]) -> Vec<u8> {
+/// Returns the message that a side signs to prove that it knows the key.
+/// The challenges are those that the signer has received and sent. The boot id
+/// is that of the accepting side, in either role.
+fn transcript(
+    port: PortKind,
+    role: &[u8],
+    received_challenge: &[u8],
+    sent_challenge: &[u8],
+    boot_id: &[u8],
+) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(64);
-    // The labels have no byte 0, so the parts cannot run into each other.
+    // Neither the label nor the role contains a zero byte and the remaining
+    // parts have fixed lengths, so that the encoding is unambiguous.
     bytes.extend_from_slice(port.label());
     bytes.push(0);
     bytes.extend_from_slice(role);
     bytes.push(0);
-    bytes.extend_from_slice(one);
-    bytes.extend_from_slice(other);
-    bytes.extend_from_slice(life);
+    bytes.extend_from_slice(received_challenge);
+    bytes.extend_from_slice(sent_challenge);
+    bytes.extend_from_slice(boot_id);
     bytes
 }
--- a/wisteriaturnd/src/mesh/mod.rs
+++ b/wisteriaturnd/src/mesh/mod.rs
@@ -1,7 +1,7 @@
-//! What nodes say to each other: probes, news, requests, calls.
+//! Communication between nodes: probes, rumors, requests and calls.
 //!
-//! Datagrams may be lost and are cheap; connections are kept for what must
-//! arrive. See [docs/DESIGN.md](../../../docs/DESIGN.md#3-spreading).
+//! Probes and rumors are sent as datagrams, which are cheap but may be lost.
+//! What must arrive is sent over connections. See [docs/DESIGN.md](../../../docs/DESIGN.md#3-spreading).
 
 pub mod directory;
 pub mod gossip;
