--- a/wisteriaturnd/src/claims/client.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -77,7 +77,8 @@
             .await
     }
 
-    /// Releases a key in the background, because its execution won't be started.
+    /// Releases a key whose execution will not be started. The release is sent in the
+    /// background.
     pub fn release(&self, node: &NodeHandle, key: KeyHash, run: CallId) {
         let node = node.clone();
         let expires_at = node.clock.now() + RELEASE_TIMEOUT;
@@ -116,7 +117,7 @@
 }
 
 async fn send_task(node: NodeHandle, stream: u32, mut queue: mpsc::Receiver<QueuedItem>) {
-    let mut link: Option<(NodeAddress, PeerConnection)> = None;
+    let mut connection: Option<(NodeAddress, PeerConnection)> = None;
     let mut waiting: Vec<QueuedItem> = Vec::new();
     loop {
         if waiting.is_empty() && queue.recv_many(&mut waiting, MAX_BATCH_ITEMS).await == 0 {
@@ -136,7 +137,7 @@
             stream,
             items: waiting.iter().map(|queued| queued.item.clone()).collect(),
         };
-        let outcomes = send_request(&node, &mut link, request).await;
+        let outcomes = send_request(&node, &mut connection, request).await;
         waiting = deliver_outcomes(waiting, outcomes);
         if !waiting.is_empty() {
             tokio::time::sleep(RETRY_DELAY).await;
@@ -164,7 +165,7 @@
 
 async fn send_request(
     node: &NodeHandle,
-    link: &mut Option<(NodeAddress, PeerConnection)>,
+    connection: &mut Option<(NodeAddress, PeerConnection)>,
     request: ClaimRequest,
 ) -> Option<Vec<ClaimOutcome>> {
     let home = node.settings.log_data_centre.as_ref();
@@ -172,18 +173,18 @@
     if keeper == node.address() {
         return Some(node.keeper.submit(node, request).await);
     }
-    if link.as_ref().is_none_or(|(peer, _)| *peer != keeper) {
-        *link = None;
+    if connection.as_ref().is_none_or(|(peer, _)| *peer != keeper) {
+        *connection = None;
         log::info!(event = "keeper", stream = request.stream, chosen:% = keeper; "place");
         let opened = PeerConnection::open(node, keeper).await.ok()?;
-        *link = Some((keeper, opened));
+        *connection = Some((keeper, opened));
     }
-    let (_, peer_link) = link.as_mut()?;
+    let (_, peer) = connection.as_mut()?;
     let request = PeerRequest::Claim(request);
-    match peer_link.request(node, &request, TrafficKind::Claim).await {
+    match peer.request(node, &request, TrafficKind::Claim).await {
         Ok(PeerAnswer::Claimed(outcomes)) => Some(outcomes),
         Ok(_) | Err(_) => {
-            *link = None;
+            *connection = None;
             None
         }
     }
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -5,7 +5,8 @@
 //! the outcome `unknown` may be retried only if the call is idempotent or has an
 //! idempotency key, whose claim prevents a second execution. A retry also needs
 //! time before the deadline, a request body that can be sent again and, if the
-//! attempt may have reached a target, a token from the service's retry budget.
+//! attempt may have reached a target, a token from the service's retry budget. A
+//! request that may have crashed its target is not retried.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -118,6 +119,8 @@
 /// The attempts of one call so far.
 #[derive(Debug, Default)]
 struct AttemptHistory {
+    /// Nodes of all attempts that were not refused as `crowded`; they are not chosen
+    /// again.
     tried: Vec<NodeAddress>,
     /// Nodes whose gate refused the call as `crowded`; they may be chosen again.
     crowded: Vec<NodeAddress>,
