--- a/wisteriaturnd/src/gate/answer.rs
+++ b/wisteriaturnd/src/gate/answer.rs
@@ -48,7 +48,7 @@
             return;
         }
         let seconds = after.as_secs_f64();
-        if self.edge.has_fractional_retry_after {
+        if self.edge_headers.has_fractional_retry_after {
             headers::set(response.headers_mut(), RETRY_AFTER, format!("{seconds:.3}"));
         } else {
             let rounded = seconds.ceil().max(1.0);
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -70,7 +70,7 @@
             let mut request = request.map(boxed);
             headers::strip_mesh(request.headers_mut());
             if let Some(request_id) = &call.request_id {
-                let name = node.edge.request_id.clone();
+                let name = node.edge_headers.request_id.clone();
                 request.headers_mut().insert(name, request_id.clone());
             }
             run::run(node, call, request).await
@@ -92,7 +92,7 @@
         call: headers::parsed(map, &headers::CALL)?,
         class: headers::parsed(map, &headers::CLASS)?,
         priority: headers::parsed(map, &headers::PRIORITY).unwrap_or_default(),
-        request_id: map.get(&node.edge.request_id).cloned(),
+        request_id: map.get(&node.edge_headers.request_id).cloned(),
         route: headers::parsed(map, &headers::ROUTE),
         soft_deadline: CallDeadline::for_call(&node.clock, remaining, soft_deadline),
         deadline: CallDeadline::for_call(&node.clock, remaining, None),
--- a/wisteriaturnd/src/gate/send.rs
+++ b/wisteriaturnd/src/gate/send.rs
@@ -43,10 +43,10 @@
 ) -> SendOutcome {
     let map = request.headers_mut();
     let remaining = call.deadline.remaining(node.clock.now()).as_millis();
-    headers::set(map, node.edge.deadline_ms.clone(), remaining);
+    headers::set(map, node.edge_headers.deadline_ms.clone(), remaining);
     headers::set(map, headers::CALL, call.call);
     if let Some(instance) = &target.instance {
-        headers::set(map, node.edge.expected_instance.clone(), instance);
+        headers::set(map, node.edge_headers.expected_instance.clone(), instance);
     }
     let may_encode = map.contains_key(ACCEPT_ENCODING);
     let until = call.deadline.at().into();
@@ -79,7 +79,12 @@
     response: Response<Incoming>,
     connection: PooledConnection,
 ) -> SendOutcome {
-    let kind = AnswerKind::classify(&node.edge, call.request_id.as_ref(), may_encode, &response);
+    let kind = AnswerKind::classify(
+        &node.edge_headers,
+        call.request_id.as_ref(),
+        may_encode,
+        &response,
+    );
     if kind != AnswerKind::Own {
         log::warn!(
             event = "answer-refused",
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -89,7 +89,7 @@
     let started = node.clock.now();
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
-    let request_id = headers::text(request.headers(), &node.edge.request_id)
+    let request_id = headers::text(request.headers(), &node.edge_headers.request_id)
         .unwrap_or_default()
         .to_owned();
     let served = tokio::select! {
@@ -190,7 +190,7 @@
         .route_limiter
         .try_acquire(&route.spec.name, max_concurrent)
         .ok_or(RefusalReason::RouteLimit)?;
-    let requested = headers::parsed_millis(request.headers(), &node.edge.deadline_ms);
+    let requested = headers::parsed_millis(request.headers(), &node.edge_headers.deadline_ms);
     let deadline = CallDeadline::for_call(&node.clock, route.spec.deadline(), requested);
     let call = prepare(node, view, Arc::clone(&route), deadline, request).await?;
     let response = attempt::run(node, call).await;
@@ -264,17 +264,17 @@
 ) -> Result<RoutedCall, RefusalReason> {
     let (mut parts, body) = request.into_parts();
     headers::strip_hop_by_hop(&mut parts.headers);
-    let request_id = parts.headers.get(&node.edge.request_id).cloned();
+    let request_id = parts.headers.get(&node.edge_headers.request_id).cloned();
     headers::strip_mesh(&mut parts.headers);
     if let Some(request_id) = &request_id {
-        let name = node.edge.request_id.clone();
+        let name = node.edge_headers.request_id.clone();
         parts.headers.insert(name, request_id.clone());
     }
     // Only nodes may set these headers, so values from callers are dropped.
-    parts.headers.remove(&node.edge.expected_instance);
-    parts.headers.remove(&node.edge.caller_service);
+    parts.headers.remove(&node.edge_headers.expected_instance);
+    parts.headers.remove(&node.edge_headers.caller_service);
     if let Some(service) = &node.settings.caller_service {
-        let name = node.edge.caller_service.clone();
+        let name = node.edge_headers.caller_service.clone();
         headers::set(&mut parts.headers, name, service);
     }
     let is_idempotent = route
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -110,7 +110,7 @@
     /// A directory for discovering nodes in addition to the configured seeds.
     pub directory: Option<DirectoryPort>,
     /// Names of the headers that are exchanged with callers and targets.
-    pub edge: EdgeHeaders,
+    pub edge_headers: EdgeHeaders,
     /// The latest announcement and departure of each target on this VM.
     pub announcements: Mutex<AnnouncementTracker>,
     /// Size and duration of the answers of each route, as seen by the ingress.
@@ -203,7 +203,7 @@
     log: LogPort,
     documents: Option<DocumentPort>,
     directory: Option<DirectoryPort>,
-    edge: EdgeHeaders,
+    edge_headers: EdgeHeaders,
     addresses: AddressMap,
 }
 
@@ -216,7 +216,7 @@
             log,
             documents: None,
             directory: None,
-            edge: EdgeHeaders::standard(),
+            edge_headers: EdgeHeaders::standard(),
             addresses: AddressMap::identity(),
         }
     }
@@ -235,8 +235,8 @@
     }
 
     /// Sets the header names to use with callers and targets.
-    pub fn edge(mut self, edge: EdgeHeaders) -> Self {
-        self.edge = edge;
+    pub fn edge_headers(mut self, edge_headers: EdgeHeaders) -> Self {
+        self.edge_headers = edge_headers;
         self
     }
 
@@ -297,7 +297,7 @@
             log: self.log,
             documents: self.documents,
             directory: self.directory,
-            edge: self.edge,
+            edge_headers: self.edge_headers,
             announcements: Mutex::new(AnnouncementTracker::new()),
             answer_estimates: AnswerEstimator::new(),
             run_estimates: AnswerEstimator::new(),
