--- a/wisteriaturnd/src/control/documents.rs
+++ b/wisteriaturnd/src/control/documents.rs
@@ -96,9 +96,9 @@
 }
 
 impl SourceReader {
-    /// Returns `true` if this node must read the source, because it is a reader or
-    /// because no reader serves it. Resumes from the last known position if this
-    /// has changed.
+    /// Decides whether this node must read the source, because it is a reader or
+    /// because no reader serves it. When this changes, the next read starts at the
+    /// last known position.
     fn update_role(&mut self, node: &NodeHandle) -> bool {
         // The heartbeats of a reader may arrive although pulls from it fail,
         // because its link drops long messages or passes only datagrams. The
@@ -193,6 +193,7 @@
         .map(|(_, position)| position)
 }
 
+/// Returns `true` if this node is a reader of its data centre.
 fn is_reader(node: &NodeHandle) -> bool {
     let table = lock(&node.table);
     readers(&table, &node.settings.data_centre).contains(&node.address())
--- a/wisteriaturnd/src/control/start.rs
+++ b/wisteriaturnd/src/control/start.rs
@@ -1,10 +1,10 @@
 //! Starts a node: it serves only once its view is current.
 //!
 //! A VM has no disk, so a node starts without any state. It becomes ready when
-//! its view is at least as new as that of the log or of two ready peers, and at
-//! least as new as the one that its peers last saw at its address. A restarted
-//! node with an older view would break the guarantee that no node ever goes back
-//! to an older version.
+//! its view is at least as new as that of two ready peers, or of the log or the
+//! document source, and at least as new as the one that its peers last saw at its
+//! address. A restarted node with an older view would break the guarantee that no
+//! node ever goes back to an older version.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -25,7 +25,8 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Number of ready peers whose versions suffice in place of the log.
+/// Number of ready peers whose versions suffice in place of the log or the
+/// document source.
 const MIN_READY_PEERS: usize = 2;
 
 /// Maximum number of peers, in addition to the seeds, to ask in one round.
--- a/wisteriaturnd/src/lifecycle.rs
+++ b/wisteriaturnd/src/lifecycle.rs
@@ -35,7 +35,7 @@
 /// Time for sending the last answers and for closing connections.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A node whose tasks run.
+/// A node whose ports are open and whose tasks are running.
 #[derive(Debug)]
 pub struct RunningNode {
     /// The shared state of the node.
@@ -123,8 +123,8 @@
         lame_duck_end.await;
         node.stage.send_replace(NodeStage::Stopping);
         self.connections.close();
-        let is_closed = timeout_at(drain_deadline.into(), self.connections.wait()).await;
-        if is_closed.is_err() {
+        let all_closed = timeout_at(drain_deadline.into(), self.connections.wait()).await;
+        if all_closed.is_err() {
             log::warn!(event = "calls-cut", open = self.connections.len(); "node");
             node.stage.send_replace(NodeStage::Closing);
         }
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -86,7 +86,7 @@
     pub table: Mutex<MemberTable>,
     /// Updates to piggyback on probe messages.
     pub rumors: Mutex<RumorQueue>,
-    /// Fingerprints of requests that are suspected of crashing targets.
+    /// Requests that are suspected of crashing targets, by fingerprint.
     pub suspects: Mutex<SuspectTable>,
     /// The metrics of the node.
     pub metrics: NodeMetrics,
@@ -117,7 +117,7 @@
     pub answer_estimates: AnswerEstimator,
     /// Time that the targets on this VM take for a call of each route.
     pub run_estimates: AnswerEstimator,
-    /// Requests claims of idempotency keys for this gate.
+    /// Requests claims of idempotency keys on behalf of this gate.
     pub claims: ClaimClient,
     /// Writes the claim streams that are assigned to this node.
     pub keeper: ClaimKeeper,
@@ -146,7 +146,8 @@
     pub gate_closes_at: Mutex<Option<Instant>>,
     /// Number of target losses recorded at this gate.
     pub loss_count: AtomicU64,
-    budgets: Mutex<BTreeMap<ServiceName, Arc<RetryBudget>>>,
+    retry_budgets: Mutex<BTreeMap<ServiceName, Arc<RetryBudget>>>,
+    /// When this node first saw a service of a member's incarnation.
     first_seen: Mutex<HashMap<(NodeAddress, Incarnation, ServiceName), Instant>>,
 }
 
@@ -256,7 +257,7 @@
     /// others.
     pub fn build(self, udp: UdpSocket) -> NodeHandle {
         let (settings, clock) = (self.settings, self.clock);
-        let own = MemberRecord {
+        let own_record = MemberRecord {
             address: settings.peer,
             incarnation: Incarnation(clock.unix_millis()),
             sequence: Sequence(0),
@@ -280,7 +281,7 @@
             location,
             view: ViewCell::new(),
             store: Mutex::new(ConfigStore::new()),
-            table: Mutex::new(MemberTable::new(own, clock.now())),
+            table: Mutex::new(MemberTable::new(own_record, clock.now())),
             rumors: Mutex::new(RumorQueue::new()),
             suspects: Mutex::new(SuspectTable::new()),
             metrics: NodeMetrics::new(),
@@ -315,7 +316,7 @@
             link_monitor: Mutex::new(LinkMonitor::new(clock.now())),
             gate_closes_at: Mutex::default(),
             loss_count: AtomicU64::new(0),
-            budgets: Mutex::default(),
+            retry_budgets: Mutex::default(),
             first_seen: Mutex::default(),
             settings,
             clock,
@@ -345,16 +346,17 @@
     /// Returns `true` if this node is isolated from all others.
     pub fn is_isolated(&self) -> bool {
         let now = self.clock.now();
-        let link = *lock(&self.link_monitor);
+        let monitor = *lock(&self.link_monitor);
         // Every call checks this, and counting members scans the whole table.
-        if !link.is_silent(now) {
+        if !monitor.is_silent(now) {
             return false;
         }
-        let others = self.live_members().saturating_sub(1);
-        link.is_isolated(others, now)
+        let others = self.live_member_count().saturating_sub(1);
+        monitor.is_isolated(others, now)
     }
 
-    /// Returns `true` if callers should send calls to this node.
+    /// Returns `true` if callers should send calls to this node: it is ready and
+    /// not isolated.
     pub fn is_serving(&self) -> bool {
         self.current_stage() == NodeStage::Ready && !self.is_isolated()
     }
@@ -482,11 +484,11 @@
 
     /// Returns the retry budget of a service.
     pub fn retry_budget(&self, service: &ServiceName) -> Arc<RetryBudget> {
-        let mut budgets = lock(&self.budgets);
+        let mut budgets = lock(&self.retry_budgets);
         let budget = budgets.entry(service.clone()).or_insert_with(|| {
             let clock = Arc::clone(&self.clock);
             Arc::new(match self.settings.retry {
-                Some(limit) => RetryBudget::shared(clock, limit, self.live_members()),
+                Some(limit) => RetryBudget::shared(clock, limit, self.live_member_count()),
                 None => RetryBudget::new(clock),
             })
         });
@@ -495,13 +497,14 @@
 
     /// Updates the number of nodes that share the limits of the retry budgets.
     pub fn update_retry_budgets(&self) {
-        let members = self.live_members();
-        for budget in lock(&self.budgets).values() {
+        let members = self.live_member_count();
+        for budget in lock(&self.retry_budgets).values() {
             budget.set_members(members);
         }
     }
 
-    fn live_members(&self) -> usize {
+    /// Returns the number of live members, including this node.
+    fn live_member_count(&self) -> usize {
         let table = lock(&self.table);
         table.iter().filter(|entry| entry.record.is_live()).count()
     }
