--- a/wisteriaturnd/src/mesh/prober.rs
+++ b/wisteriaturnd/src/mesh/prober.rs
@@ -1,4 +1,5 @@
-//! Probing the members of the data centre, and comparing with the others.
+//! Failure detection: probes the members of the data centre as in SWIM, and
+//! starts anti-entropy when the member table of another node differs.
 
 use std::time::{Duration, Instant};
 
@@ -15,56 +16,61 @@
 use crate::mesh::rumors;
 use crate::node::NodeHandle;
 
-/// Members asked to probe one that did not answer.
-const HELPERS: usize = 3;
+/// Number of members that are asked to probe a member that did not answer.
+const INDIRECT_PROBE_PEERS: usize = 3;
 
-/// Members asked when a probe failed, to see whether the own link works.
-const SELF_CHECK_PEERS: usize = 3;
+/// Number of members that are pinged to check this node's own link, after a
+/// failed probe and before suspects are declared dead.
+const OWN_LINK_CHECK_PEERS: usize = 3;
 
-/// Probes in a row that found other members before they are compared. Fewer
-/// would compare whole tables while news is still on its way.
-const MISMATCHES_TO_COMPARE: u32 = 3;
+/// Number of consecutive probes that must find a different digest before
+/// anti-entropy starts. With fewer, whole tables would be exchanged while rumors
+/// are still on their way.
+const MISMATCHES_BEFORE_ANTI_ENTROPY: u32 = 3;
 
-/// Least time between two comparisons.
-const COMPARE_INTERVAL: Duration = Duration::from_secs(5);
+/// Minimum time between two starts of anti-entropy.
+const MIN_ANTI_ENTROPY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a node counts as young. In a herd of restarts it missed the news of
-/// all that came up before it listened, and compares at the first mismatch.
-const YOUNG_TIME: Duration = Duration::from_secs(30);
+/// Time after the start of a node during which the first mismatch starts
+/// anti-entropy. When many nodes restart at once, a node misses the rumors about
+/// those that came up before it could receive any.
+const STARTUP_PERIOD: Duration = Duration::from_secs(30);
 
-/// Least time between two comparisons of a young node.
-const YOUNG_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between two starts of anti-entropy within [`STARTUP_PERIOD`].
+const MIN_STARTUP_ANTI_ENTROPY_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct ProberState {
     round: ProbeRound,
-    started: Instant,
+    started_at: Instant,
     mismatches: u32,
-    compared: Option<Instant>,
+    last_anti_entropy: Option<Instant>,
     was_relay: Option<bool>,
     was_isolated: bool,
 }
 
-/// Probes one member after another for as long as the node runs.
+/// Probes one member per probe interval for as long as the node runs, and does
+/// the periodic work of membership and of the connection pools.
 pub async fn probe_task(node: NodeHandle) {
-    let interval = node.settings.tuning.probe_interval;
+    let probe_interval = node.settings.tuning.probe_interval;
     let mut state = ProberState {
         round: ProbeRound::new(),
-        started: node.clock.now(),
+        started_at: node.clock.now(),
         mismatches: 0,
-        compared: None,
+        last_anti_entropy: None,
         was_relay: None,
         was_isolated: false,
     };
     loop {
         let jitter = rand::rng().random_range(0.9..1.1);
-        let slept = node.clock.now();
-        tokio::time::sleep(interval.mul_f64(jitter)).await;
-        let woke = node.clock.now();
-        // After a pause of this process every other node looks late.
-        let was_paused = woke.duration_since(slept) > interval * 3;
-        note_role(&node, &mut state);
-        note_link(&node, &mut state);
+        let sleep_start = node.clock.now();
+        tokio::time::sleep(probe_interval.mul_f64(jitter)).await;
+        let sleep_end = node.clock.now();
+        // If this process was paused, answers may have been missed, so that
+        // every other node appears unresponsive.
+        let was_paused = sleep_end.duration_since(sleep_start) > probe_interval * 3;
+        report_relay_role(&node, &mut state);
+        report_isolation(&node, &mut state);
         let target = {
             let table = lock(&node.table);
             state.round.next(&table, &mut rand::rng())
@@ -72,9 +78,9 @@
         if let Some(target) = target {
             probe(&node, &mut state, target, was_paused).await;
         }
-        probe_far(&node, &mut state).await;
+        probe_remote_relay(&node, &mut state).await;
         if !was_paused {
-            bury_overdue(&node).await;
+            declare_overdue_suspects_dead(&node).await;
         }
         lock(&node.table).remove_expired_tombstones(node.clock.now());
         node.hop_pool.close_expired();
@@ -82,7 +88,8 @@
     }
 }
 
-fn note_role(node: &NodeHandle, state: &mut ProberState) {
+/// Logs and exports whether this node is a relay, if that has changed.
+fn report_relay_role(node: &NodeHandle, state: &mut ProberState) {
     let is_relay = node.is_relay();
     if state.was_relay != Some(is_relay) {
         state.was_relay = Some(is_relay);
@@ -91,7 +98,8 @@
     }
 }
 
-fn note_link(node: &NodeHandle, state: &mut ProberState) {
+/// Logs that this node became isolated from all others or no longer is.
+fn report_isolation(node: &NodeHandle, state: &mut ProberState) {
     let is_isolated = node.is_isolated();
     if is_isolated != state.was_isolated {
         state.was_isolated = is_isolated;
@@ -104,36 +112,44 @@
     }
 }
 
-async fn probe(node: &NodeHandle, state: &mut ProberState, target: NodeAddress, is_unsure: bool) {
+async fn probe(node: &NodeHandle, state: &mut ProberState, target: NodeAddress, was_paused: bool) {
     let wait = node.settings.tuning.probe_timeout;
     if let Some(status) = gossip::ping(node, target, wait).await {
-        compare_digest(node, state, target, status.digest);
+        compare_digests(node, state, target, status.digest);
         return;
     }
     let helpers = {
         let table = lock(&node.table);
-        let mut peers = random_peers(&table, HELPERS + 1, &mut rand::rng());
+        let mut peers = random_peers(&table, INDIRECT_PROBE_PEERS + 1, &mut rand::rng());
         peers.retain(|peer| *peer != target);
-        peers.truncate(HELPERS);
+        peers.truncate(INDIRECT_PROBE_PEERS);
         peers
     };
     let is_reached = gossip::ping_indirectly(node, &helpers, target, wait * 2).await;
-    if is_reached || is_unsure || !own_link_works(node, Some(target)).await {
+    if is_reached || was_paused || !is_own_link_working(node, Some(target)).await {
         return;
     }
     set_state(node, target, MemberState::Suspect).await;
 }
 
-/// Tells whether any of a few other members answers. A node that is cut off
-/// would otherwise suspect and bury its data centre one by one, and spread that
-/// when its link is back; the share of suspects (`is_likely_cut_off`) would be seen
-/// only after most of them.
-async fn own_link_works(node: &NodeHandle, except: Option<NodeAddress>) -> bool {
-    let mut peers = random_peers(&lock(&node.table), SELF_CHECK_PEERS + 1, &mut rand::rng());
-    peers.retain(|peer| Some(*peer) != except);
-    peers.truncate(SELF_CHECK_PEERS);
+/// Returns `true` if any of a few random members other than `unreachable_peer`
+/// answers a ping, or if there are no others.
+///
+/// Without this check, a node that is cut off would suspect the members of its
+/// data centre one by one, declare them dead, and spread that once its link is
+/// back. The share of lost members (`is_likely_cut_off`) reveals the cut only
+/// once most of them are suspects.
+async fn is_own_link_working(node: &NodeHandle, unreachable_peer: Option<NodeAddress>) -> bool {
+    let mut peers = random_peers(
+        &lock(&node.table),
+        OWN_LINK_CHECK_PEERS + 1,
+        &mut rand::rng(),
+    );
+    peers.retain(|peer| Some(*peer) != unreachable_peer);
+    peers.truncate(OWN_LINK_CHECK_PEERS);
     if peers.is_empty() {
-        // With two members nothing tells the two cases apart.
+        // With only two members, a cut link cannot be distinguished from a dead
+        // peer.
         return true;
     }
     let wait = node.settings.tuning.probe_timeout;
@@ -150,68 +166,74 @@
     false
 }
 
-/// A relay also probes a relay of some other data centre, to find what a lost
-/// push left out. A failure there says nothing about the node: the link
-/// between regions may be cut.
-async fn probe_far(node: &NodeHandle, state: &mut ProberState) {
+/// If this node is a relay, pings a random relay of another data centre and
+/// compares digests, to detect rumors that were lost between them. A missing
+/// answer does not make the peer a suspect, because the link between the regions
+/// may be cut.
+async fn probe_remote_relay(node: &NodeHandle, state: &mut ProberState) {
     if !node.is_relay() {
         return;
     }
-    let far: Vec<NodeAddress> = node.remote_relays().into_values().flatten().collect();
-    let Some(target) = far.choose(&mut rand::rng()).copied() else {
+    let remote_relays: Vec<NodeAddress> = node.remote_relays().into_values().flatten().collect();
+    let Some(target) = remote_relays.choose(&mut rand::rng()).copied() else {
         return;
     };
     let wait = node.settings.tuning.probe_timeout;
     if let Some(status) = gossip::ping(node, target, wait).await {
-        compare_digest(node, state, target, status.digest);
+        compare_digests(node, state, target, status.digest);
     }
 }
 
-fn compare_digest(node: &NodeHandle, state: &mut ProberState, peer: NodeAddress, digest: u64) {
+/// Compares the digest of a peer's member table with this node's, and starts
+/// anti-entropy with the peer after enough mismatches.
+fn compare_digests(node: &NodeHandle, state: &mut ProberState, peer: NodeAddress, digest: u64) {
     if digest == lock(&node.table).digest() {
         state.mismatches = 0;
         return;
     }
     state.mismatches += 1;
     let now = node.clock.now();
-    let is_young = now.duration_since(state.started) < YOUNG_TIME;
-    let (needed, interval) = if is_young {
-        (1, YOUNG_INTERVAL)
+    let is_starting = now.duration_since(state.started_at) < STARTUP_PERIOD;
+    let (required_mismatches, min_interval) = if is_starting {
+        (1, MIN_STARTUP_ANTI_ENTROPY_INTERVAL)
     } else {
-        (MISMATCHES_TO_COMPARE, COMPARE_INTERVAL)
+        (MISMATCHES_BEFORE_ANTI_ENTROPY, MIN_ANTI_ENTROPY_INTERVAL)
     };
-    let is_recent = state
-        .compared
-        .is_some_and(|when| now.duration_since(when) < interval);
-    if state.mismatches >= needed && !is_recent {
+    let ran_recently = state
+        .last_anti_entropy
+        .is_some_and(|last| now.duration_since(last) < min_interval);
+    if state.mismatches >= required_mismatches && !ran_recently {
         state.mismatches = 0;
-        state.compared = Some(now);
+        state.last_anti_entropy = Some(now);
         peer_client::spawn_anti_entropy(node, peer);
     }
 }
 
-async fn set_state(node: &NodeHandle, member: NodeAddress, standing: MemberState) {
-    let changed = lock(&node.table).set_state(member, standing, node.clock.now());
+async fn set_state(node: &NodeHandle, member: NodeAddress, state: MemberState) {
+    let changed = lock(&node.table).set_state(member, state, node.clock.now());
     let Some(record) = changed else {
         return;
     };
-    log::warn!(event = "member", member:% = member, state:? = standing; "member");
+    log::warn!(event = "member", member:% = member, state:? = state; "member");
     node.members_changed.notify_one();
     rumors::spread(node, Rumor::Member(record)).await;
 }
 
-async fn bury_overdue(node: &NodeHandle) {
-    let place = &node.settings.data_centre;
+/// Declares the suspects of this data centre dead that did not refute the
+/// suspicion in time, unless this node's own link appears to be at fault.
+async fn declare_overdue_suspects_dead(node: &NodeHandle) {
+    let data_centre = &node.settings.data_centre;
     let timeout = node.settings.tuning.suspect_timeout;
     let overdue = {
         let table = lock(&node.table);
-        if table.is_likely_cut_off(place) {
-            // More likely this node's own link: keep routing by what is seen.
+        if table.is_likely_cut_off(data_centre) {
+            // This node's own link is the more likely fault, so nobody is
+            // declared dead and calls are routed by what was last known.
             return;
         }
-        table.overdue_suspects(place, timeout, node.clock.now())
+        table.overdue_suspects(data_centre, timeout, node.clock.now())
     };
-    if overdue.is_empty() || !own_link_works(node, None).await {
+    if overdue.is_empty() || !is_own_link_working(node, None).await {
         return;
     }
     for member in overdue {
--- a/wisteriaturnd/src/mesh/rumors.rs
+++ b/wisteriaturnd/src/mesh/rumors.rs
@@ -1,9 +1,10 @@
-//! News: small facts about members and requests, passed on while they are new.
+//! Dissemination of rumors: small updates about members and suspected requests.
 //!
-//! News goes on when it told this node something new, to a few random nodes
-//! of the data centre; a relay also passes it to the relays of the other data
-//! centres, and nobody else sends news across. So the bytes on billed links
-//! grow with the number of data centres and not with the number of nodes.
+//! A node forwards a rumor only if the rumor was new to it: it piggybacks it on
+//! probes and, if the rumor was pushed, pushes it to a few random nodes of its
+//! data centre. Between data centres, rumors are sent only by relays, to the
+//! relays of the other data centres. The bytes on billed links therefore grow
+//! with the number of data centres instead of the number of nodes.
 
 use std::net::SocketAddr;
 
@@ -19,32 +20,34 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
-/// Takes news that came from another node, and passes on what was new.
+/// Merges rumors from another node and forwards those that were new to this
+/// node. `is_pushed` is `true` for rumors that were sent at once instead of
+/// piggybacked on a probe; the new ones among them are pushed on as well.
 pub async fn receive(node: &NodeHandle, from: SocketAddr, rumors: Vec<Rumor>, is_pushed: bool) {
-    let mut news = Vec::new();
-    let mut has_members = false;
+    let mut new_rumors = Vec::new();
+    let mut has_new_members = false;
     for rumor in rumors {
-        let is_member = matches!(rumor, Rumor::Member(_));
-        if learn(node, rumor.clone()).await {
-            has_members |= is_member;
-            news.push(rumor);
+        let is_member_record = matches!(rumor, Rumor::Member(_));
+        if merge(node, rumor.clone()).await {
+            has_new_members |= is_member_record;
+            new_rumors.push(rumor);
         }
     }
-    if has_members {
+    if has_new_members {
         node.members_changed.notify_one();
     }
-    if news.is_empty() {
+    if new_rumors.is_empty() {
         return;
     }
-    queue(node, &news);
+    enqueue(node, &new_rumors);
     if is_pushed {
-        push_news(node, &news).await;
+        push(node, &new_rumors).await;
     }
-    relay_news(node, from, news).await;
+    forward_to_remote_relays(node, from, new_rumors).await;
 }
 
-/// Takes one piece of news and returns whether it was new.
-async fn learn(node: &NodeHandle, rumor: Rumor) -> bool {
+/// Merges a rumor into the state of this node. Returns `true` if it was new.
+async fn merge(node: &NodeHandle, rumor: Rumor) -> bool {
     let now = node.clock.now();
     match rumor {
         Rumor::Member(record) => {
@@ -66,32 +69,32 @@
         }
         Rumor::Suspect {
             fingerprint,
-            node: place,
+            node: target_node,
             loss,
-        } => lock(&node.suspects).record_target_loss(fingerprint, place, loss, now),
+        } => lock(&node.suspects).record_target_loss(fingerprint, target_node, loss, now),
         Rumor::Cleared { fingerprint } => lock(&node.suspects).clear(fingerprint),
     }
 }
 
-fn queue(node: &NodeState, news: &[Rumor]) {
+fn enqueue(node: &NodeState, rumors: &[Rumor]) {
     let members = lock(&node.table).len();
-    let mut rumors = lock(&node.rumors);
-    for rumor in news {
-        rumors.push(rumor.clone(), members);
+    let mut queue = lock(&node.rumors);
+    for rumor in rumors {
+        queue.push(rumor.clone(), members);
     }
 }
 
-/// Sends news, cut into datagrams, to a few nodes of the data centre.
-async fn push_news(node: &NodeState, news: &[Rumor]) {
+/// Sends rumors to a few random nodes of the data centre.
+async fn push(node: &NodeState, rumors: &[Rumor]) {
     for peer in fanout_peers(node) {
-        send_news(node, peer, news).await;
+        send_rumors(node, peer, rumors).await;
     }
 }
 
-async fn send_news(node: &NodeState, to: NodeAddress, news: &[Rumor]) {
-    // A member record with its targets stays far below a datagram, and pushes
-    // rarely hold more than one, so one rumor a datagram keeps this simple.
-    for rumor in news {
+async fn send_rumors(node: &NodeState, to: NodeAddress, rumors: &[Rumor]) {
+    // One rumor per datagram keeps this simple: a member record with its targets
+    // is far smaller than a datagram, and a push rarely holds more than one.
+    for rumor in rumors {
         let datagram = Datagram::Rumors {
             rumors: vec![rumor.clone()],
         };
@@ -99,51 +102,58 @@
     }
 }
 
-/// Passes news of this data centre to the relays of the others.
-async fn relay_news(node: &NodeState, from: SocketAddr, news: Vec<Rumor>) {
+/// Sends the rumors that originate in this data centre to the relays of the
+/// other data centres, if this node is a relay. `from` is the node that sent
+/// the rumors to this one; a rumor about a request counts as local if `from` is.
+async fn forward_to_remote_relays(node: &NodeState, from: SocketAddr, rumors: Vec<Rumor>) {
     if !node.is_relay() {
         return;
     }
-    let own = &node.settings.data_centre;
-    let is_near_sender = place_of(node, from).as_ref() == Some(own);
-    let near: Vec<Rumor> = news
+    let own_data_centre = &node.settings.data_centre;
+    let is_local_sender = data_centre_of(node, from).as_ref() == Some(own_data_centre);
+    let local: Vec<Rumor> = rumors
         .into_iter()
         .filter(|rumor| match rumor {
-            Rumor::Member(record) => record.data_centre == *own,
-            Rumor::Suspect { .. } | Rumor::Cleared { .. } => is_near_sender,
+            Rumor::Member(record) => record.data_centre == *own_data_centre,
+            Rumor::Suspect { .. } | Rumor::Cleared { .. } => is_local_sender,
         })
         .collect();
-    if near.is_empty() {
+    if local.is_empty() {
         return;
     }
     for relay in node.remote_relays().into_values().flatten() {
-        send_news(node, relay, &near).await;
+        send_rumors(node, relay, &local).await;
     }
 }
 
-fn place_of(node: &NodeState, address: SocketAddr) -> Option<DataCentre> {
+fn data_centre_of(node: &NodeState, address: SocketAddr) -> Option<DataCentre> {
     let table = lock(&node.table);
     table
         .get(address)
         .map(|entry| entry.record.data_centre.clone())
 }
 
-/// Spreads the own record as urgent news.
+/// Pushes this node's own record at once, instead of only with its next probes.
 pub async fn spread_own_record(node: &NodeHandle, record: MemberRecord) {
     spread(node, Rumor::Member(record)).await;
 }
 
-/// Spreads a piece of news that this node found out itself.
+/// Spreads a rumor that starts at this node: queues it for the next probes and
+/// pushes it to a few random nodes and the relays of the data centre. A relay
+/// also pushes it to the relays of the other data centres.
 pub async fn spread(node: &NodeHandle, rumor: Rumor) {
-    let news = vec![rumor];
-    queue(node, &news);
-    push_news(node, &news).await;
-    let near = {
+    let rumors = vec![rumor];
+    enqueue(node, &rumors);
+    push(node, &rumors).await;
+    let local_relays = {
         let table = lock(&node.table);
         relays(&table, &node.settings.data_centre)
     };
-    for relay in near.into_iter().filter(|relay| *relay != node.address()) {
-        send_news(node, relay, &news).await;
+    for relay in local_relays
+        .into_iter()
+        .filter(|relay| *relay != node.address())
+    {
+        send_rumors(node, relay, &rumors).await;
     }
-    relay_news(node, node.address(), news).await;
+    forward_to_remote_relays(node, node.address(), rumors).await;
 }
