--- a/testing/src/bin/log-standin.rs
+++ b/testing/src/bin/log-standin.rs
@@ -119,6 +119,8 @@
     )
 }
 
+/// Handles a request: `/behaviour` sets the simulated failures or returns the request
+/// counts, and `/streams/{name}/records` appends and reads records.
 async fn serve(state: &Arc<LogState>, request: Request<Incoming>) -> LogResponse {
     let (parts, body) = request.into_parts();
     let body = match body.collect().await {
@@ -178,6 +180,7 @@
     }
 }
 
+/// Replaces the behaviour with the one in `body`, and trims streams as it says.
 fn set_behaviour(state: &LogState, body: &[u8]) -> LogResponse {
     match serde_json::from_slice::<LogBehaviour>(body) {
         Ok(behaviour) => {
@@ -205,18 +208,18 @@
     if behaviour.appends_per_second > 0 {
         let interval = Duration::from_secs(1) / behaviour.appends_per_second;
         let start_at = {
-            let mut next = state.next_append.lock().expect("no panic");
-            *next = (*next).max(Instant::now()) + interval;
-            *next
+            let mut next_append = state.next_append.lock().expect("no panic");
+            *next_append = (*next_append).max(Instant::now()) + interval;
+            *next_append
         };
         tokio::time::sleep_until(start_at.into()).await;
     }
     let is_late = take_from_counter(state, |behaviour| &mut behaviour.late_appends);
     if is_late {
         let (state, stream) = (Arc::clone(state), stream.to_owned());
-        let late = Duration::from_millis(behaviour.late_ms);
+        let delay = Duration::from_millis(behaviour.late_ms);
         tokio::spawn(async move {
-            tokio::time::sleep(late).await;
+            tokio::time::sleep(delay).await;
             store_record(&state, &stream, record);
         });
         return unavailable();
--- a/testing/src/bin/target-standin.rs
+++ b/testing/src/bin/target-standin.rs
@@ -150,6 +150,8 @@
     Ok(response)
 }
 
+/// Serves a call. The request headers `x-crash`, `x-sleep-ms`, `x-stall`, `x-cut`, `x-next`,
+/// `x-status` and `x-answer-bytes` say how; without them the answer describes the request.
 async fn run(state: &TargetState, request: Request<Incoming>) -> Response<TargetBody> {
     let (parts, body) = request.into_parts();
     record_run(state, &parts.headers);
@@ -176,15 +178,15 @@
             .and_then(|value| value.parse().ok())
             .unwrap_or_default()
     };
-    let sleep = header_number("x-sleep-ms");
-    if sleep > 0 {
+    let sleep_ms = header_number("x-sleep-ms");
+    if sleep_ms > 0 {
         // As in a real target, the slots limit all callers together, and a call
         // keeps its slot even after its caller has disconnected. Without the
         // check for 0, the sleep would last until the timer's next tick.
         let capacity = Arc::clone(&state.capacity);
         let occupy_slot = async move {
             let _slot = capacity.acquire().await;
-            tokio::time::sleep(Duration::from_millis(sleep)).await;
+            tokio::time::sleep(Duration::from_millis(sleep_ms)).await;
         };
         let _ = tokio::spawn(occupy_slot).await;
     }
@@ -202,9 +204,9 @@
         Some(next) => call_next_service(state, next, &parts.headers).await,
         None => header_number("x-status").max(200) as u16,
     };
-    let size = header_number("x-answer-bytes") as usize;
-    let content = if size > 0 {
-        Bytes::from(vec![b'x'; size])
+    let answer_bytes = header_number("x-answer-bytes") as usize;
+    let content = if answer_bytes > 0 {
+        Bytes::from(vec![b'x'; answer_bytes])
     } else {
         let headers: Vec<String> = parts.headers.keys().map(ToString::to_string).collect();
         Bytes::from(
--- a/testing/src/cluster.rs
+++ b/testing/src/cluster.rs
@@ -28,6 +28,7 @@
     /// Folder of the settings files and process outputs.
     pub folder: PathBuf,
     plan: ClusterPlan,
+    /// First three bytes of the cluster's addresses.
     network: String,
     log: Option<OwnedProcess>,
     nodes: Vec<Option<OwnedProcess>>,
@@ -146,7 +147,7 @@
         self.address(index, 7083)
     }
 
-    /// Returns the address of the target that a node announces.
+    /// Returns the address of the target that runs next to a node.
     pub fn target_address(&self, index: usize) -> SocketAddr {
         self.address(index, 7090)
     }
@@ -167,8 +168,8 @@
     /// object that replaces the previous one.
     pub async fn set_log_behaviour(&self, behaviour: &str) -> Result<()> {
         self.wait_for("the log to accept a new behaviour", async || {
-            let set = client::post(self.log_address(), "/behaviour", behaviour).await;
-            set.is_ok_and(|reply| reply.status == 200)
+            let reply = client::post(self.log_address(), "/behaviour", behaviour).await;
+            reply.is_ok_and(|reply| reply.status == 200)
         })
         .await
     }
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    /// Starts the target that a node announces.
+    /// Starts the target that runs next to a node and announces itself to it.
     pub fn start_target(&mut self, index: usize, service: &str, slots: u16) -> Result<()> {
         let arguments = vec![
             format!("--listen={}", self.target_address(index)),
@@ -215,7 +216,7 @@
         self.nodes[index].as_ref().map_or(0, OwnedProcess::pid)
     }
 
-    /// Returns the process of the target that a node announces.
+    /// Returns the process of the target that runs next to a node.
     ///
     /// # Panics
     ///
@@ -261,8 +262,8 @@
     /// Waits until one node is ready.
     pub async fn wait_node_ready(&self, index: usize) -> Result<()> {
         self.wait_for(&format!("node {index} to be ready"), async || {
-            let ready = client::get(self.admin(index), "/ready").await;
-            ready.is_ok_and(|reply| reply.status == 200)
+            let reply = client::get(self.admin(index), "/ready").await;
+            reply.is_ok_and(|reply| reply.status == 200)
         })
         .await
     }
@@ -360,11 +361,11 @@
     /// Returns how often the targets have executed each run ID.
     pub fn run_counts(&self) -> std::collections::HashMap<String, usize> {
         let text = std::fs::read_to_string(self.runs_path()).unwrap_or_default();
-        let mut runs = std::collections::HashMap::new();
+        let mut counts = std::collections::HashMap::new();
         for line in text.lines() {
-            *runs.entry(line.to_owned()).or_default() += 1;
+            *counts.entry(line.to_owned()).or_default() += 1;
         }
-        runs
+        counts
     }
 
     /// Kills a node and waits until it has exited.
--- a/testing/src/experiment/chaos.rs
+++ b/testing/src/experiment/chaos.rs
@@ -37,7 +37,7 @@
 }
 
 /// The versions of accepted changes, with the time at which each was confirmed.
-type Accepted = Vec<(u64, Instant)>;
+type AcceptedVersions = Vec<(u64, Instant)>;
 
 /// Runs the experiment and prints the table. Returns `true` if every promise was kept.
 pub async fn run(options: ChaosOptions) -> Result<bool> {
@@ -62,7 +62,7 @@
     let calls = Arc::new(CallerLog::default());
     let ingresses = Arc::new(
         (0..options.nodes)
-            .map(|i| cluster.ingress(i))
+            .map(|index| cluster.ingress(index))
             .collect::<Vec<_>>(),
     );
     let mut tasks = tokio::task::JoinSet::new();
@@ -96,12 +96,12 @@
     let accepted = change_task.await?;
     while tasks.join_next().await.is_some() {}
     cluster.wait_ready().await?;
-    let last = accepted
+    let newest = accepted
         .iter()
         .map(|(version, _)| *version)
         .max()
         .unwrap_or_default();
-    cluster.wait_version(last).await?;
+    cluster.wait_version(newest).await?;
     report(&mut cluster, &options, &faults, &views, &calls, &accepted).await
 }
 
@@ -111,7 +111,7 @@
     admins: Vec<std::net::SocketAddr>,
     seed: u64,
     stop: Arc<AtomicBool>,
-) -> Accepted {
+) -> AcceptedVersions {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
     let mut accepted = Vec::new();
     let mut number = 0_u64;
@@ -150,7 +150,7 @@
     faults: &FaultInjector,
     views: &ViewLog,
     calls: &CallerLog,
-    accepted: &Accepted,
+    accepted: &AcceptedVersions,
 ) -> Result<bool> {
     println!(
         "seed {} for {} s, {} nodes",
@@ -170,7 +170,7 @@
         let text = cluster.metrics(index).await;
         violations += metrics::sum(&text, "wisteriaturn_invariant_violations", "");
     }
-    let took = convergence_percentiles(views, accepted, options.nodes);
+    let convergence = convergence_percentiles(views, accepted, options.nodes);
     let lost = count_lost_versions(cluster, accepted).await;
     let promises = [
         (
@@ -214,7 +214,7 @@
         println!("{name:<52}{seen:>8}{allowed:>8}");
     }
     println!(
-        "convergence of {} changes over nodes that were up, in ms: {took}",
+        "convergence of {} changes over nodes that were up, in ms: {convergence}",
         accepted.len()
     );
     let is_kept = promises.iter().all(|(_, seen, allowed)| seen <= allowed);
@@ -234,9 +234,10 @@
     Ok(is_kept)
 }
 
+/// Prints how many calls of each kind ended with each outcome and reason.
 fn print_outcomes(calls: &CallerLog) {
-    let outcomes = calls.totals.lock().expect("no panic");
-    let mut rows: Vec<_> = outcomes.iter().collect();
+    let totals = calls.totals.lock().expect("no panic");
+    let mut rows: Vec<_> = totals.iter().collect();
     rows.sort();
     println!(
         "{:<8}{:<14}{:<20}{:>8}",
@@ -295,7 +296,7 @@
 }
 
 /// Returns 1 if node 0 holds an older version than the newest accepted one, or 0.
-async fn count_lost_versions(cluster: &TestCluster, accepted: &Accepted) -> u64 {
+async fn count_lost_versions(cluster: &TestCluster, accepted: &AcceptedVersions) -> u64 {
     let newest = accepted
         .iter()
         .map(|(version, _)| *version)
@@ -309,19 +310,20 @@
 
 /// Returns percentiles, in milliseconds, of the time that nodes without a fault took to
 /// hold each accepted version.
-fn convergence_percentiles(views: &ViewLog, accepted: &Accepted, nodes: usize) -> Value {
-    let mut times: Vec<u64> = Vec::new();
+fn convergence_percentiles(views: &ViewLog, accepted: &AcceptedVersions, nodes: usize) -> Value {
+    let mut convergence_ms: Vec<u64> = Vec::new();
     for (version, accepted_at) in accepted {
         for index in 0..nodes {
             if let Some(took) = views.convergence_time(index, *version, *accepted_at) {
-                times.push(took.as_millis() as u64);
+                convergence_ms.push(took.as_millis() as u64);
             }
         }
     }
-    times.sort_unstable();
+    convergence_ms.sort_unstable();
     let percentile = |fraction: f64| -> u64 {
-        let index = ((times.len() as f64 * fraction) as usize).min(times.len().saturating_sub(1));
-        times.get(index).copied().unwrap_or_default()
+        let index = ((convergence_ms.len() as f64 * fraction) as usize)
+            .min(convergence_ms.len().saturating_sub(1));
+        convergence_ms.get(index).copied().unwrap_or_default()
     };
     json!({ "p50": percentile(0.5), "p99": percentile(0.99), "max": percentile(1.0) })
 }
--- a/testing/src/experiment/faults.rs
+++ b/testing/src/experiment/faults.rs
@@ -9,7 +9,7 @@
 use crate::cluster::TestCluster;
 use crate::experiment::observer::ViewLog;
 
-/// A fault in force and the time at which it is undone.
+/// An injected fault and the time at which it is undone.
 #[derive(Debug)]
 struct ActiveFault {
     ends_at: Instant,
@@ -227,8 +227,8 @@
     }
 }
 
-/// Starts the target that a node announces, of the service `portal` on even nodes and
-/// `dispatch` on odd ones.
+/// Starts the target next to a node, of the service `portal` on even nodes and `dispatch`
+/// on odd ones.
 pub fn start_target(cluster: &mut TestCluster, index: usize) -> Result<()> {
     let service = if index.is_multiple_of(2) {
         "portal"
--- a/testing/src/experiment/spread.rs
+++ b/testing/src/experiment/spread.rs
@@ -59,16 +59,16 @@
     let started_at = Instant::now();
     tokio::time::sleep(Duration::from_secs(options.idle_s)).await;
     let idle_seconds = started_at.elapsed().as_secs_f64();
-    let after = read_costs(&cluster, options.nodes).await;
+    let after_idle = read_costs(&cluster, options.nodes).await;
     println!("nodes,{}", options.nodes);
-    print_costs("idle", &before, &after, idle_seconds);
+    print_costs("idle", &before, &after_idle, idle_seconds);
 
     let started_at = Instant::now();
     let convergence_ms = submit_changes(&mut cluster, &options).await?;
     let changes_elapsed = started_at.elapsed().as_secs_f64();
     let after_changes = read_costs(&cluster, options.nodes).await;
     if !options.kill_relays {
-        print_costs("changes", &after, &after_changes, changes_elapsed);
+        print_costs("changes", &after_idle, &after_changes, changes_elapsed);
     }
     print_convergence(&convergence_ms);
     if options.herd {
