--- a/wisteriaturnd/src/control/source.rs
+++ b/wisteriaturnd/src/control/source.rs
@@ -14,7 +14,8 @@
 /// reads plus a read.
 const OVERDUE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The state of reading the document source. Each field has its own lock.
+/// The state of reading the document source. Each field is synchronized
+/// separately.
 #[derive(Debug)]
 pub struct SourceState {
     /// Newest version that this node has read from the source, or `None` before
@@ -34,7 +35,7 @@
     pub pull_lease: Mutex<PullLease>,
     /// A version that a peer holds and this node lacks, and when this node heard
     /// of it.
-    missing: Mutex<Option<(ConfigVersion, Instant)>>,
+    missing_version: Mutex<Option<(ConfigVersion, Instant)>>,
 }
 
 impl SourceState {
@@ -47,7 +48,7 @@
             reader_heard_at: Mutex::default(),
             read_position: Mutex::default(),
             pull_lease: Mutex::default(),
-            missing: Mutex::default(),
+            missing_version: Mutex::default(),
         }
     }
 
@@ -60,16 +61,16 @@
         held: ConfigVersion,
         now: Instant,
     ) {
-        let mut missing = lock(&self.missing);
-        if missing.is_none_or(|(first, _)| first <= held) {
-            *missing = Some((version, now));
+        let mut missing_version = lock(&self.missing_version);
+        if missing_version.is_none_or(|(first, _)| first <= held) {
+            *missing_version = Some((version, now));
         }
     }
 
-    /// Returns `true` if this node, which holds `held`, has lacked a version that
-    /// peers hold for at least [`OVERDUE_TIMEOUT`].
+    /// Returns `true` if this node, which holds `held`, has lacked a version of its
+    /// peers for longer than it normally takes to receive one.
     pub fn is_overdue(&self, held: ConfigVersion, now: Instant) -> bool {
-        lock(&self.missing).is_some_and(|(first, since)| {
+        lock(&self.missing_version).is_some_and(|(first, since)| {
             first > held && now.saturating_duration_since(since) >= OVERDUE_TIMEOUT
         })
     }
