--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -24,12 +24,12 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
-/// Time for the answer to a request.
+/// Time limit for a request and its answer.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Bytes of a TCP connection's packets without data, counted as sent by each
-/// side: opening, handshake acknowledgements and closing.
-const CONNECTION_BYTES: usize = 5 * 40;
+/// Size of the packets without data that each side of a TCP connection sends to
+/// open it, to acknowledge the handshake and to close it.
+const CONNECTION_OVERHEAD_BYTES: usize = 5 * 40;
 
 /// A connection to the peer port of a node.
 #[derive(Debug)]
@@ -38,8 +38,8 @@
     peer: NodeAddress,
 }
 
-/// Returns the framing of the peer port; a longer frame is refused before
-/// memory is taken for it.
+/// Returns the codec that frames the messages on the peer port. A frame that
+/// exceeds the size limit is rejected before memory is allocated for it.
 pub fn frame_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
@@ -47,11 +47,12 @@
 }
 
 impl PeerConnection {
-    /// Opens a connection.
+    /// Opens a connection and performs the handshake.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when the node cannot be reached or does not know the key.
+    /// Returns [`LinkError`] if the node cannot be reached or does not know the
+    /// mesh key.
     pub async fn open(node: &NodeState, peer: NodeAddress) -> Result<Self, LinkError> {
         let mut stream = timeout(
             CONNECT_TIMEOUT,
@@ -69,11 +70,12 @@
         })
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and returns its answer.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] after which the connection must not be used again.
+    /// Returns [`LinkError`] if the exchange fails. The connection must not be
+    /// used again after that.
     pub async fn request(
         &mut self,
         node: &NodeState,
@@ -86,42 +88,44 @@
     }
 
     async fn exchange(&mut self, message: Bytes) -> Result<PeerAnswer, LinkError> {
-        self.framed.send(message).await.map_err(lost)?;
+        self.framed.send(message).await.map_err(connection_lost)?;
         let answer = self
             .framed
             .next()
             .await
             .ok_or_else(|| LinkError::Lost("closed by the peer".to_owned()))?
-            .map_err(lost)?;
+            .map_err(connection_lost)?;
         Ok(decode_frame(&answer)?)
     }
 }
 
-fn lost(error: std::io::Error) -> LinkError {
+fn connection_lost(error: std::io::Error) -> LinkError {
     LinkError::Lost(error.to_string())
 }
 
-/// Makes one request over a connection of its own.
+/// Sends a single request over a new connection and returns its answer.
 ///
 /// # Errors
 ///
-/// [`LinkError`] as of [`PeerConnection`].
+/// Returns [`LinkError`] if the connection cannot be opened or the exchange
+/// fails.
 pub async fn request(
     node: &NodeState,
     peer: NodeAddress,
     request: &PeerRequest,
     kind: TrafficKind,
 ) -> Result<PeerAnswer, LinkError> {
-    node.record_sent(kind, peer, CONNECTION_BYTES);
+    node.record_sent(kind, peer, CONNECTION_OVERHEAD_BYTES);
     PeerConnection::open(node, peer)
         .await?
         .request(node, request, kind)
         .await
 }
 
-/// Pulls the configuration from a peer unless a pull has just begun.
+/// Spawns a task that pulls the configuration from a peer, unless another pull
+/// holds the lease.
 pub fn spawn_pull(node: &NodeHandle, peer: NodeAddress) {
-    let Some(began) = lock(&node.source.pull_lease).try_start(node.clock.now()) else {
+    let Some(started_at) = lock(&node.source.pull_lease).try_start(node.clock.now()) else {
         return;
     };
     let node = node.clone();
@@ -129,36 +133,39 @@
         if let Err(error) = pull(&node, peer).await {
             log::debug!(event = "pull-failed", peer:% = peer, error:% = error; "config");
         }
-        lock(&node.source.pull_lease).finish(began);
+        lock(&node.source.pull_lease).finish(started_at);
     });
 }
 
-/// Pulls what this node does not hold from a peer, until the peer has no more.
+/// Pulls the configuration changes that this node lacks from a peer, until the
+/// peer has no newer ones.
 ///
 /// # Errors
 ///
-/// [`LinkError`] when the peer fails; what came before is in force.
+/// Returns [`LinkError`] if a request fails or an answer cannot be decoded. What
+/// was pulled before stays in force.
 pub async fn pull(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
-    let mut link = PeerConnection::open(node, peer).await?;
-    node.record_sent(TrafficKind::Transfer, peer, CONNECTION_BYTES);
-    let mut is_whole_needed = false;
+    let mut connection = PeerConnection::open(node, peer).await?;
+    node.record_sent(TrafficKind::Transfer, peer, CONNECTION_OVERHEAD_BYTES);
+    let mut needs_full_state = false;
     loop {
-        // Nobody knows a difference from the empty configuration.
-        let version = if is_whole_needed {
+        // No peer has a delta from the empty configuration, so version 0 asks
+        // for all records or a snapshot.
+        let version = if needs_full_state {
             ConfigVersion(0)
         } else {
             lock(&node.store).version()
         };
-        let answer = link
+        let answer = connection
             .request(node, &PeerRequest::Pull { version }, TrafficKind::Transfer)
             .await?;
         let has_more = match answer {
-            PeerAnswer::Tail { first, records } => take_tail(node, first, records).await,
-            PeerAnswer::Snapshot(snapshot) => take_snapshot(node, &snapshot)? && !is_whole_needed,
-            PeerAnswer::Delta(_) if is_whole_needed => false,
+            PeerAnswer::Tail { first, records } => apply_tail(node, first, records).await,
+            PeerAnswer::Snapshot(snapshot) => adopt_snapshot(node, &snapshot)? && !needs_full_state,
+            PeerAnswer::Delta(_) if needs_full_state => false,
             PeerAnswer::Delta(delta) => {
-                is_whole_needed = !take_delta(node, &delta);
-                is_whole_needed
+                needs_full_state = !adopt_delta(node, &delta);
+                needs_full_state
             }
             _ => false,
         };
@@ -168,23 +175,25 @@
     }
 }
 
-async fn take_tail(node: &NodeHandle, first: ConfigVersion, records: Vec<Bytes>) -> bool {
+/// Applies consecutive records and pushes them on. Returns `true` if any was new.
+async fn apply_tail(node: &NodeHandle, first: ConfigVersion, records: Vec<Bytes>) -> bool {
     let mut version = first;
-    let mut has_folded = false;
+    let mut has_applied = false;
     for record in records {
         if let FoldOutcome::Folded(_) = gossip::apply_record(node, version, &record) {
-            has_folded = true;
+            has_applied = true;
             gossip::push_record(node, version, &record).await;
         }
         version.0 += 1;
     }
-    has_folded
+    has_applied
 }
 
-/// Takes a difference; returns whether what it leads to is held now.
-fn take_delta(node: &NodeHandle, delta: &DocumentDelta) -> bool {
-    let taken = lock(&node.store).adopt_delta(delta);
-    match taken {
+/// Applies a delta. Returns `true` if this node now holds the version that the
+/// delta leads to, or a later one.
+fn adopt_delta(node: &NodeHandle, delta: &DocumentDelta) -> bool {
+    let adopted = lock(&node.store).adopt_delta(delta);
+    match adopted {
         Ok(is_newer) => {
             if is_newer {
                 node.publish_view();
@@ -206,7 +215,8 @@
     }
 }
 
-fn take_snapshot(node: &NodeHandle, snapshot: &[u8]) -> Result<bool, LinkError> {
+/// Adopts the configuration in a snapshot. Returns `true` if it was newer.
+fn adopt_snapshot(node: &NodeHandle, snapshot: &[u8]) -> Result<bool, LinkError> {
     let state = decode_snapshot(snapshot)?;
     let version = state.version();
     let is_newer = lock(&node.store).adopt(state);
@@ -217,27 +227,27 @@
     Ok(is_newer)
 }
 
-/// Compares members with a peer and exchanges what differs, unless a
-/// comparison is under way.
+/// Spawns a task that compares the member table with a peer's and exchanges the
+/// records that differ, unless such a task is running.
 pub fn spawn_anti_entropy(node: &NodeHandle, peer: NodeAddress) {
     if node.is_anti_entropy_running.swap(true, Ordering::AcqRel) {
         return;
     }
     let node = node.clone();
     tokio::spawn(async move {
-        if let Err(error) = compare(&node, peer).await {
+        if let Err(error) = run_anti_entropy(&node, peer).await {
             log::debug!(event = "compare-failed", peer:% = peer, error:% = error; "member");
         }
         node.is_anti_entropy_running.store(false, Ordering::Release);
     });
 }
 
-async fn compare(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
+async fn run_anti_entropy(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
     let kind = TrafficKind::AntiEntropy;
-    let mut link = PeerConnection::open(node, peer).await?;
-    node.record_sent(kind, peer, CONNECTION_BYTES);
+    let mut connection = PeerConnection::open(node, peer).await?;
+    node.record_sent(kind, peer, CONNECTION_OVERHEAD_BYTES);
     let digests = lock(&node.table).digests().clone();
-    let answer = link
+    let answer = connection
         .request(node, &PeerRequest::Compare { digests }, kind)
         .await?;
     let PeerAnswer::Differing(data_centres) = answer else {
@@ -251,13 +261,13 @@
         data_centres,
         records,
     };
-    if let PeerAnswer::Records(records) = link.request(node, &request, kind).await? {
+    if let PeerAnswer::Records(records) = connection.request(node, &request, kind).await? {
         merge_records(node, records);
     }
     Ok(())
 }
 
-/// Returns the records of the members in some data centres.
+/// Returns the records of the members in the given data centres.
 pub fn records_in(
     node: &NodeState,
     data_centres: &[wisteriaturn::ids::DataCentre],
@@ -269,7 +279,8 @@
         .collect()
 }
 
-/// Merges records that came over a connection.
+/// Merges member records into the member table, and wakes the task that
+/// rebuilds the view.
 pub fn merge_records(node: &NodeHandle, records: Vec<MemberRecord>) {
     let now = node.clock.now();
     let mut table = lock(&node.table);
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -1,4 +1,4 @@
-//! The peer port: one task for each connection.
+//! The server side of the peer port, with one task for each connection.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,23 +25,25 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Connections that are open at once.
-const CONNECTION_LIMIT: usize = 512;
+/// Largest number of open connections. Further ones are dropped.
+const MAX_CONNECTIONS: usize = 512;
 
-/// Joins and snapshots that are sent at once. After a herd of restarts the
-/// others are told to come back, so that each transfer ends soon.
-const TRANSFER_LIMIT: usize = 4;
+/// Largest number of joins and snapshots that are answered concurrently. When
+/// many nodes restart at once, the others are told that this node is busy, so
+/// that each transfer ends soon.
+const MAX_CONCURRENT_TRANSFERS: usize = 4;
 
-/// How long a connection may be idle.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time in which a member answers who holds a version.
-const HOLDER_TIME: Duration = Duration::from_millis(250);
+/// Time limit for the answer of a member that is asked whether it holds a
+/// version.
+const HOLDER_PING_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Accepts connections for as long as the node runs.
+/// Accepts connections to the peer port for as long as the node runs.
 pub async fn accept_task(node: NodeHandle, listener: TcpListener) {
-    let connections = Arc::new(Semaphore::new(CONNECTION_LIMIT));
-    let transfers = Arc::new(Semaphore::new(TRANSFER_LIMIT));
+    let connection_permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let transfer_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_TRANSFERS));
     loop {
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
@@ -51,13 +53,13 @@
                 continue;
             }
         };
-        let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&connection_permits).try_acquire_owned() else {
             node.metrics.record_drop("peer-connections");
             continue;
         };
-        let (node, transfers) = (node.clone(), Arc::clone(&transfers));
+        let (node, transfer_permits) = (node.clone(), Arc::clone(&transfer_permits));
         tokio::spawn(async move {
-            if let Err(error) = serve(&node, stream, &transfers).await {
+            if let Err(error) = serve(&node, stream, &transfer_permits).await {
                 log::debug!(event = "peer-closed", peer:% = from, error:% = error; "peer");
             }
             drop(permit);
@@ -68,10 +70,10 @@
 async fn serve(
     node: &NodeHandle,
     mut stream: TcpStream,
-    transfers: &Semaphore,
+    transfer_permits: &Semaphore,
 ) -> Result<(), LinkError> {
-    let lost = |error: std::io::Error| LinkError::Lost(error.to_string());
-    stream.set_nodelay(true).map_err(lost)?;
+    let connection_lost = |error: std::io::Error| LinkError::Lost(error.to_string());
+    stream.set_nodelay(true).map_err(connection_lost)?;
     let accepted = handshake::accept(
         &mut stream,
         &node.settings.keys,
@@ -85,22 +87,26 @@
     }
     let mut framed = Framed::new(stream, frame_codec());
     loop {
-        let Some(frame) = tokio::time::timeout(IDLE_TIME, framed.next()).await? else {
+        let Some(frame) = tokio::time::timeout(IDLE_TIMEOUT, framed.next()).await? else {
             return Ok(());
         };
-        let request: PeerRequest = decode_frame(&frame.map_err(lost)?)?;
-        let (peer, kind) = (sender_of(&request), kind_of(&request));
-        let answer = encode_frame(&handle(node, request, transfers).await)?;
+        let request: PeerRequest = decode_frame(&frame.map_err(connection_lost)?)?;
+        let (peer, kind) = (sender_of(&request), traffic_kind(&request));
+        let answer = encode_frame(&handle(node, request, transfer_permits).await)?;
         if let Some(peer) = peer {
             node.record_sent(kind, peer, answer.len() + 40);
         } else {
             let reach = crate::metrics::TrafficReach::Unknown;
             node.metrics.record_sent(kind, reach, answer.len() + 40);
         }
-        framed.send(Bytes::from(answer)).await.map_err(lost)?;
+        framed
+            .send(Bytes::from(answer))
+            .await
+            .map_err(connection_lost)?;
     }
 }
 
+/// Returns the address of the sender, which only a join contains.
 fn sender_of(request: &PeerRequest) -> Option<NodeAddress> {
     match request {
         PeerRequest::Join { record, .. } => Some(record.address),
@@ -108,7 +114,7 @@
     }
 }
 
-fn kind_of(request: &PeerRequest) -> TrafficKind {
+fn traffic_kind(request: &PeerRequest) -> TrafficKind {
     match request {
         PeerRequest::Join { .. } | PeerRequest::Pull { .. } => TrafficKind::Transfer,
         PeerRequest::Compare { .. } | PeerRequest::Exchange { .. } => TrafficKind::AntiEntropy,
@@ -117,68 +123,80 @@
     }
 }
 
-async fn handle(node: &NodeHandle, request: PeerRequest, transfers: &Semaphore) -> PeerAnswer {
+async fn handle(
+    node: &NodeHandle,
+    request: PeerRequest,
+    transfer_permits: &Semaphore,
+) -> PeerAnswer {
     match request {
-        PeerRequest::Join { record, digests } => match transfers.try_acquire() {
+        PeerRequest::Join { record, digests } => match transfer_permits.try_acquire() {
             Ok(_permit) => join(node, record, &digests).await,
             Err(_) => PeerAnswer::Busy,
         },
-        PeerRequest::Compare { digests } => PeerAnswer::Differing(differing(node, &digests)),
+        PeerRequest::Compare { digests } => {
+            PeerAnswer::Differing(differing_data_centres(node, &digests))
+        }
         PeerRequest::Exchange {
             data_centres,
             records,
-        } => exchange(node, &data_centres, records),
-        PeerRequest::Pull { version } => pull(node, version, transfers),
+        } => merge_and_return_missing(node, &data_centres, records),
+        PeerRequest::Pull { version } => pull_answer(node, version, transfer_permits),
         PeerRequest::Holders { version } => {
             PeerAnswer::Holders(collect_holders(node, version).await)
         }
-        PeerRequest::Claim(demand) => PeerAnswer::Claimed(node.keeper.submit(node, demand).await),
+        PeerRequest::Claim(request) => PeerAnswer::Claimed(node.keeper.submit(node, request).await),
         PeerRequest::Inquire { hop, call, boot_id } => {
             PeerAnswer::Inquired(hop::revoke_for_peer(node, hop, call, boot_id).await)
         }
     }
 }
 
-/// Returns the data centres whose members this node knows differently.
-fn differing(node: &NodeHandle, digests: &BTreeMap<DataCentre, u64>) -> Vec<DataCentre> {
+/// Returns the data centres whose digests differ from those of this node,
+/// including data centres that only one side knows.
+fn differing_data_centres(
+    node: &NodeHandle,
+    digests: &BTreeMap<DataCentre, u64>,
+) -> Vec<DataCentre> {
     let table = lock(&node.table);
     let own = table.digests();
-    let places = own.keys().chain(digests.keys());
-    let mut differ: Vec<_> = places
-        .filter(|place| own.get(*place) != digests.get(*place))
+    let all_data_centres = own.keys().chain(digests.keys());
+    let mut data_centres: Vec<_> = all_data_centres
+        .filter(|data_centre| own.get(*data_centre) != digests.get(*data_centre))
         .cloned()
         .collect();
-    differ.sort();
-    differ.dedup();
-    differ
+    data_centres.sort();
+    data_centres.dedup();
+    data_centres
 }
 
+/// Answers a join. Merges and spreads the record of the joining node if its
+/// incarnation is higher than the one known.
 async fn join(
     node: &NodeHandle,
     record: MemberRecord,
     digests: &BTreeMap<DataCentre, u64>,
 ) -> PeerAnswer {
-    let joiner = record.address;
+    let joining_node = record.address;
     let (seen_version, seen_incarnation, departures) = lock(&node.table)
-        .get(joiner)
-        .map(|seen| {
+        .get(joining_node)
+        .map(|entry| {
             (
-                seen.held_version,
-                seen.record.incarnation,
-                seen.departures.clone(),
+                entry.held_version,
+                entry.record.incarnation,
+                entry.departures.clone(),
             )
         })
         .unwrap_or_default();
-    // A restarted node with a lower incarnation joins again with a higher one.
-    // The record is taken before digests are compared, or the joiner's own data
-    // centre would differ by the joiner itself.
+    // A restarted node whose incarnation is lower than the one seen raises it
+    // and joins again. The record is merged before the digests are compared;
+    // otherwise the joining node's data centre would differ merely by that node.
     if record.incarnation > seen_incarnation {
         lock(&node.table).merge(record.clone(), node.clock.now());
         node.members_changed.notify_one();
         rumors::spread(node, Rumor::Member(record)).await;
     }
     PeerAnswer::Joined {
-        records: records_in(node, &differing(node, digests)),
+        records: records_in(node, &differing_data_centres(node, digests)),
         status: node.status(),
         is_ready: node.current_stage() >= NodeStage::Ready,
         seen_version,
@@ -187,29 +205,36 @@
     }
 }
 
-/// Takes the records of the other side and returns those that it lacks.
-fn exchange(
+/// Merges the records that a peer has sent and returns those of the given data
+/// centres that the peer lacks or has older versions of.
+fn merge_and_return_missing(
     node: &NodeHandle,
     data_centres: &[DataCentre],
     records: Vec<MemberRecord>,
 ) -> PeerAnswer {
-    let theirs: std::collections::HashMap<_, _> = records
+    let received_ranks: std::collections::HashMap<_, _> = records
         .iter()
         .map(|record| (record.address, record.rank()))
         .collect();
-    let lacking = records_in(node, data_centres)
+    let missing = records_in(node, data_centres)
         .into_iter()
         .filter(|record| {
-            theirs
+            received_ranks
                 .get(&record.address)
                 .is_none_or(|rank| *rank < record.rank())
         })
         .collect();
     merge_records(node, records);
-    PeerAnswer::Records(lacking)
+    PeerAnswer::Records(missing)
 }
 
-fn pull(node: &NodeHandle, version: ConfigVersion, transfers: &Semaphore) -> PeerAnswer {
+/// Returns the newer records if they are still kept, else a delta, else a
+/// snapshot.
+fn pull_answer(
+    node: &NodeHandle,
+    version: ConfigVersion,
+    transfer_permits: &Semaphore,
+) -> PeerAnswer {
     let mut store = lock(&node.store);
     if let Some(records) = store.records_after(version, MAX_RECORDS_BYTES) {
         return PeerAnswer::Tail {
@@ -220,7 +245,7 @@
     if let Some(delta) = store.delta_from(version) {
         return PeerAnswer::Delta(delta);
     }
-    if transfers.try_acquire().is_err() {
+    if transfer_permits.try_acquire().is_err() {
         return PeerAnswer::Busy;
     }
     match store.snapshot() {
@@ -229,24 +254,25 @@
     }
 }
 
-/// Asks every live member of this data centre whether it holds a version.
+/// Asks every live member of this data centre whether it holds `version` or a
+/// later one. A member that does not answer is reported as a laggard.
 pub async fn collect_holders(node: &NodeHandle, version: ConfigVersion) -> HolderReport {
-    let place = node.settings.data_centre.clone();
+    let own_data_centre = node.settings.data_centre.clone();
     let members: Vec<NodeAddress> = lock(&node.table)
-        .live_in(&place)
+        .live_in(&own_data_centre)
         .map(|record| record.address)
         .collect();
-    let mut asked = tokio::task::JoinSet::new();
+    let mut queries = tokio::task::JoinSet::new();
     for member in members {
         let node = node.clone();
-        asked.spawn(async move { (member, holds(&node, member, version).await) });
+        queries.spawn(async move { (member, holds_version(&node, member, version).await) });
     }
     let mut report = HolderReport {
-        data_centre: place,
+        data_centre: own_data_centre,
         holders: 0,
         laggards: Vec::new(),
     };
-    while let Some(Ok((member, is_holder))) = asked.join_next().await {
+    while let Some(Ok((member, is_holder))) = queries.join_next().await {
         if is_holder {
             report.holders += 1;
         } else {
@@ -257,13 +283,13 @@
     report
 }
 
-async fn holds(node: &NodeHandle, member: NodeAddress, version: ConfigVersion) -> bool {
+async fn holds_version(node: &NodeHandle, member: NodeAddress, version: ConfigVersion) -> bool {
     if member == node.address() {
         return node.view.load().config.version >= version;
     }
-    // A datagram can be lost, so a silent member is asked once more.
+    // A datagram may be lost, so a member that does not answer is asked twice.
     for _ in 0..2 {
-        if let Some(status) = gossip::ping(node, member, HOLDER_TIME).await {
+        if let Some(status) = gossip::ping(node, member, HOLDER_PING_TIMEOUT).await {
             return status.version >= version;
         }
     }
