--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -1,9 +1,10 @@
-//! The calls that this node sends to other nodes' gates.
+//! Calls that this node sends to the gates of other nodes.
 //!
-//! Losing an exchange says nothing about the call. So this node asks the gate
-//! what became of it, over a new connection and then through other nodes of
-//! that data centre, and the gate either revokes the call or hands its answer
-//! over. Only when nobody reaches the gate does the call stay unknown.
+//! If an exchange with a gate is lost, the call may or may not have run. This
+//! node then sends the gate an inquiry, first over a new connection and then
+//! through other nodes of the gate's data centre. The gate revokes the call if
+//! it has not started and otherwise returns its result. The outcome stays
+//! unknown only if the gate cannot be reached or no longer knows the call.
 
 use std::time::{Duration, Instant};
 
@@ -33,70 +34,74 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
-/// Nodes through which a gate is asked when it cannot be reached.
-const GO_BETWEENS: usize = 2;
+/// Largest number of nodes through which an inquiry is sent if the gate cannot
+/// be reached directly.
+const MAX_INTERMEDIARIES: usize = 2;
 
-/// Least time for asking about a call, also when its deadline is over: the
-/// caller still wants to know whether it was run.
-const LEAST_ASK_TIME: Duration = Duration::from_millis(1_500);
+/// Minimum time for resolving a lost call, even after its deadline: the caller
+/// still needs to know whether the call has run.
+const MIN_INQUIRY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Names what a gate is asked.
+/// Inquiry that revokes a call if it has not started, and otherwise asks for its
+/// result.
 pub const INQUIRY_REVOKE: &str = "revoke";
 
-/// Names what a gate is asked.
+/// Inquiry that asks for the result of a call without revoking it.
 pub const INQUIRY_STATUS: &str = "inquire";
 
-/// One attempt of a call, as a gate sees it.
+/// One attempt of a call, as sent to a gate.
 #[derive(Debug, Clone)]
 pub struct GateCall {
-    /// Identifier of the attempt.
+    /// Id of the attempt.
     pub call: CallId,
-    /// Service.
+    /// Service that is called.
     pub service: ServiceName,
-    /// Class.
+    /// Traffic class of the call, which its route sets.
     pub class: CallClass,
-    /// Rank within the class.
+    /// Priority within the class.
     pub priority: CallPriority,
-    /// Route by which it came.
+    /// Route that the call matched.
     pub route: Option<RouteName>,
     /// Time up to which the answer has its full value.
     pub soft_deadline: CallDeadline,
-    /// The caller's name for its attempt.
+    /// Request id from the caller.
     pub request_id: Option<HeaderValue>,
-    /// When the answer must be there.
+    /// Time by which the caller must have the answer.
     pub deadline: CallDeadline,
     /// Longest wait for a slot that is still better than trying another target.
     pub max_wait: Duration,
-    /// Whether running it twice does no harm.
+    /// Whether the call can safely run more than once.
     pub is_idempotent: bool,
-    /// What the target would see.
+    /// Hash of what the target receives. It identifies the same request when it
+    /// is sent again.
     pub fingerprint: Fingerprint,
-    /// Key under which it runs at most once.
+    /// Hash of the idempotency key. Calls with the same key run at most once.
     pub key: Option<KeyHash>,
 }
 
 impl GateCall {
-    /// Returns the caller's name for its attempt, for log lines.
+    /// Returns the request id from the caller, sanitized for log lines.
     pub fn loggable_request_id(&self) -> Sanitized<'_> {
         Sanitized::from_header(self.request_id.as_ref())
     }
 }
 
-/// What became of an attempt at another node.
+/// The result of an attempt that was sent to another node's gate.
 #[derive(Debug)]
 pub enum HopResult {
-    /// The gate answered, for its target or itself.
+    /// The gate sent a response: that of the target or its own.
     Answered(Response<NodeBody>),
-    /// Nothing was sent.
+    /// Nothing was sent, so the call has not run.
     Unsent,
-    /// The exchange was lost; asked, the gate of this life may know more.
+    /// The exchange was lost and the call may have run. Holds the boot id of the
+    /// gate that can be asked about it.
     Lost(BootId),
 }
 
-/// Writes a call into the headers of a request between nodes.
+/// Adds the headers that describe a call to a request between nodes.
 pub fn write_call_headers(headers: &mut HeaderMap, call: &GateCall, now: Instant) {
-    let left = call.deadline.remaining(now).as_millis();
-    headers::set(headers, headers::DEADLINE_MS, left);
+    let remaining_ms = call.deadline.remaining(now).as_millis();
+    headers::set(headers, headers::DEADLINE_MS, remaining_ms);
     headers::set(headers, headers::CALL, call.call);
     headers::set(headers, headers::SERVICE, &call.service);
     headers::set(headers, headers::CLASS, call.class.name());
@@ -116,7 +121,8 @@
     headers::set(headers, headers::FINGERPRINT, call.fingerprint);
 }
 
-/// Sends an attempt to the gate of a target.
+/// Sends an attempt to the gate of a target. A reused connection that turns out
+/// to be closed before anything was sent is replaced by another one.
 pub async fn send(
     node: &NodeHandle,
     target: &TargetEntry,
@@ -124,64 +130,67 @@
     mut request: Request<NodeBody>,
 ) -> HopResult {
     write_call_headers(request.headers_mut(), call, node.clock.now());
-    let until = call.deadline.at().into();
+    let deadline = call.deadline.at().into();
     loop {
-        let link = match timeout_at(until, node.hop_pool.acquire(target.hop)).await {
-            Ok(Ok(link)) => link,
+        let connection = match timeout_at(deadline, node.hop_pool.acquire(target.hop)).await {
+            Ok(Ok(connection)) => connection,
             Ok(Err(_)) | Err(_) => return HopResult::Unsent,
         };
-        let (life, is_reused) = (link.boot_id, link.is_reused);
-        match timeout_at(until, send_over(node, link, request)).await {
+        let (boot_id, is_reused) = (connection.boot_id, connection.is_reused);
+        match timeout_at(deadline, send_on_connection(node, connection, request)).await {
             Ok(Ok(response)) => {
                 node.record_contact();
                 return HopResult::Answered(response);
             }
             Ok(Err(ExchangeError::Unsent(unsent))) if is_reused => request = *unsent,
             Ok(Err(ExchangeError::Unsent(_))) => return HopResult::Unsent,
-            Ok(Err(ExchangeError::Lost(_))) | Err(_) => return HopResult::Lost(life),
+            Ok(Err(ExchangeError::Lost(_))) | Err(_) => return HopResult::Lost(boot_id),
         }
     }
 }
 
-async fn send_over(
+async fn send_on_connection(
     node: &NodeHandle,
-    mut link: PooledConnection,
+    mut connection: PooledConnection,
     request: Request<NodeBody>,
 ) -> Result<Response<NodeBody>, ExchangeError> {
-    let response = exchange::send(&mut link, request).await?;
+    let response = exchange::send(&mut connection, request).await?;
     let (parts, body) = response.into_parts();
-    let stall = node.settings.tuning.stall_timeout;
-    let body = pooled_body(body, link, &node.hop_pool, stall, |_| ());
+    let stall_timeout = node.settings.tuning.stall_timeout;
+    let body = pooled_body(body, connection, &node.hop_pool, stall_timeout, |_| ());
     Ok(Response::from_parts(parts, body))
 }
 
-/// Finds out what became of a call whose exchange was lost.
+/// Resolves the outcome of a call whose exchange was lost, by sending inquiries
+/// to its gate. `gate_boot_id` is the boot id that the gate had when the call was
+/// sent.
 pub async fn resolve_lost_call(
     node: &NodeHandle,
     target: &TargetEntry,
     call: &GateCall,
-    life: BootId,
+    gate_boot_id: BootId,
 ) -> InquiryAnswer {
     let now = node.clock.now();
-    let wait = call.deadline.remaining(now).max(LEAST_ASK_TIME);
-    let until = now + wait;
-    // A paused gate keeps its connections, so the direct way gets half.
+    let wait = call.deadline.remaining(now).max(MIN_INQUIRY_TIMEOUT);
+    let deadline = now + wait;
+    // A paused gate keeps its connections open, so that a direct inquiry may
+    // hang: it gets only half of the time.
     let direct = timeout(
         wait / 2,
-        send_inquiry(node, target.hop, INQUIRY_REVOKE, call.call, life),
+        send_inquiry(node, target.hop, INQUIRY_REVOKE, call.call, gate_boot_id),
     )
     .await;
     if let Ok(Ok(answer)) = direct {
         return answer;
     }
-    for helper in go_betweens(node, target) {
+    for intermediary in intermediaries(node, target) {
         let request = PeerRequest::Inquire {
             hop: target.hop,
             call: call.call,
-            boot_id: life,
+            boot_id: gate_boot_id,
         };
-        let asked = peer_client::request(node, helper, &request, TrafficKind::Claim);
-        match timeout_at(until.into(), asked).await {
+        let inquiry = peer_client::request(node, intermediary, &request, TrafficKind::Claim);
+        match timeout_at(deadline.into(), inquiry).await {
             Ok(Ok(PeerAnswer::Inquired(InquiryAnswer::Unknown))) => {}
             Ok(Ok(PeerAnswer::Inquired(answer))) => return answer,
             Ok(Ok(_)) | Ok(Err(_)) => {}
@@ -191,66 +200,71 @@
     InquiryAnswer::Unknown
 }
 
-fn go_betweens(node: &NodeState, target: &TargetEntry) -> Vec<NodeAddress> {
+/// Returns other nodes in the data centre of a target, through which its gate
+/// may be reachable.
+fn intermediaries(node: &NodeState, target: &TargetEntry) -> Vec<NodeAddress> {
     lock(&node.table)
         .live_in(&target.data_centre)
         .map(|record| record.address)
         .filter(|address| *address != target.node && *address != node.address())
-        .take(GO_BETWEENS)
+        .take(MAX_INTERMEDIARIES)
         .collect()
 }
 
-/// Revokes a call on behalf of another node.
+/// Revokes a call on behalf of a node that cannot reach the gate itself.
 pub async fn revoke_for_peer(
     node: &NodeHandle,
     hop: NodeAddress,
     call: CallId,
-    life: BootId,
+    boot_id: BootId,
 ) -> InquiryAnswer {
-    send_inquiry(node, hop, INQUIRY_REVOKE, call, life)
+    send_inquiry(node, hop, INQUIRY_REVOKE, call, boot_id)
         .await
         .unwrap_or(InquiryAnswer::Unknown)
 }
 
-/// Revokes a call whose caller went away, so that it does not start.
+/// Spawns a task that revokes a call whose caller has disconnected, so that it
+/// does not start.
 pub fn spawn_revocation(node: &NodeHandle, target: TargetEntry, call: GateCall) {
     let node = node.clone();
     tokio::spawn(async move {
-        let link = node.hop_pool.acquire(target.hop).await;
-        if let Ok(link) = link {
-            let life = link.boot_id;
-            node.hop_pool.release(link);
-            let _ = send_inquiry(&node, target.hop, INQUIRY_REVOKE, call.call, life).await;
+        let connection = node.hop_pool.acquire(target.hop).await;
+        if let Ok(connection) = connection {
+            let boot_id = connection.boot_id;
+            node.hop_pool.release(connection);
+            let _ = send_inquiry(&node, target.hop, INQUIRY_REVOKE, call.call, boot_id).await;
         }
     });
 }
 
-/// Asks a gate about a call.
+/// Sends an inquiry about a call to its gate and returns the answer. Returns
+/// [`InquiryAnswer::Unknown`] if the gate's boot id is not `boot_id`, because a
+/// restarted gate does not know the calls of earlier runs.
 ///
 /// # Errors
 ///
-/// [`LinkError`] when the gate cannot be reached. A gate in another life
-/// answers, but cannot know.
+/// Returns [`LinkError`] if the gate cannot be reached or the exchange with it
+/// fails.
 pub async fn send_inquiry(
     node: &NodeHandle,
     hop: NodeAddress,
-    question: &str,
+    inquiry: &str,
     call: CallId,
-    life: BootId,
+    boot_id: BootId,
 ) -> Result<InquiryAnswer, LinkError> {
-    let mut link = node.hop_pool.open(hop).await?;
-    if link.boot_id != life {
+    let mut connection = node.hop_pool.open(hop).await?;
+    if connection.boot_id != boot_id {
         return Ok(InquiryAnswer::Unknown);
     }
     let request = Request::builder()
         .method(Method::GET)
         .uri("/")
         .header(HOST, "gate")
-        .header(headers::INQUIRY, question)
+        .header(headers::INQUIRY, inquiry)
         .header(headers::CALL, call.to_string())
         .body(empty())
         .map_err(|error| LinkError::Lost(error.to_string()))?;
-    let response = match exchange::send(&mut link, request).await {
+    let response = match exchange::send(&mut connection, request).await {
         Ok(response) => response,
         Err(ExchangeError::Unsent(_)) => return Err(LinkError::Unreachable("unsent".to_owned())),
         Err(ExchangeError::Lost(error)) => return Err(error),
@@ -261,11 +275,13 @@
         .map_err(|error| LinkError::Lost(error.to_string()))?
         .to_bytes();
     let answer = decode(&body)?;
-    node.hop_pool.release(link);
+    node.hop_pool.release(connection);
     Ok(answer)
 }
 
-/// Returns the reason that stands for a lost exchange with a gate.
+/// Returns the refusal reason for a lost exchange with a gate:
+/// [`RefusalReason::Deadline`] if the call's time is up, otherwise
+/// [`RefusalReason::GateLost`].
 pub fn lost_exchange_reason(call: &GateCall, now: Instant) -> RefusalReason {
     if call.deadline.allows_attempt(now) {
         RefusalReason::GateLost
