--- a/tests/integration/process_path.rs
+++ b/tests/integration/process_path.rs
@@ -1,4 +1,5 @@
-//! The whole path as separate processes: log, nodes, targets, tool, caller.
+//! The complete path of a call through separate processes: the log, nodes, targets,
+//! the command-line tool and a caller.
 
 use std::process::Command;
 
@@ -6,7 +7,7 @@
 use serde_json::json;
 use wisteriaturn_testing::client;
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
-use wisteriaturn_testing::process::program;
+use wisteriaturn_testing::process::program_path;
 
 const RESOURCES: &str = r#"
 [[service]]
@@ -28,7 +29,7 @@
     .await?;
     let file = cluster.folder.join("portal.toml");
     std::fs::write(&file, RESOURCES)?;
-    let applied = Command::new(program("wisteriaturn")?)
+    let applied = Command::new(program_path("wisteriaturn")?)
         .args(["--node", &cluster.admin(0).to_string(), "apply", "--wait"])
         .arg(&file)
         .output()?;
@@ -41,11 +42,11 @@
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(reply.outcome(), "done");
     assert_eq!(reply.json()["path"], json!("/portal/index"));
-    let output = std::fs::read_to_string(cluster.output(1))?;
-    let decision = output.lines().find(|line| line.contains("event=route"));
+    let output = std::fs::read_to_string(cluster.output_path(1))?;
+    let route_line = output.lines().find(|line| line.contains("event=route"));
     let expected = format!("target={}", cluster.peer(0));
     assert!(
-        decision.is_some_and(|line| line.contains(&expected)),
+        route_line.is_some_and(|line| line.contains(&expected)),
         "{output}"
     );
     cluster.remove_folder();
@@ -53,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_logs_lead_from_a_request_to_what_became_of_it() -> Result<()> {
+async fn the_why_command_finds_the_result_of_a_request_in_the_logs() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         ..ClusterPlan::default()
@@ -68,7 +69,7 @@
     };
     assert_eq!(call("served-1", "/portal").await?.status, 200);
     assert_eq!(call("lost-1", "/nowhere").await?.status, 404);
-    // Each of the three kinds of end is found from the request's name alone.
+    // The result of each request is found by its request ID alone.
     let cases = [
         (
             "served-1",
@@ -85,25 +86,25 @@
         ),
     ];
     for (request, expected) in cases {
-        let why = || {
-            Command::new(program("wisteriaturn")?)
+        let run_why = || {
+            Command::new(program_path("wisteriaturn")?)
                 .args(["why", request])
-                .args([cluster.output(0), cluster.output(1)])
+                .args([cluster.output_path(0), cluster.output_path(1)])
                 .output()
                 .map_err(eyre::Report::from)
         };
         cluster
-            .wait("the lines to be written", async || {
-                why().is_ok_and(|said| {
-                    let text = String::from_utf8_lossy(&said.stdout).into_owned();
+            .wait_for("the log lines to be written", async || {
+                run_why().is_ok_and(|output| {
+                    let text = String::from_utf8_lossy(&output.stdout).into_owned();
                     expected.iter().all(|word| text.contains(word))
                 })
             })
             .await?;
     }
-    let unknown = Command::new(program("wisteriaturn")?)
+    let unknown = Command::new(program_path("wisteriaturn")?)
         .args(["why", "nobody"])
-        .arg(cluster.output(0))
+        .arg(cluster.output_path(0))
         .output()?;
     assert_eq!(unknown.status.code(), Some(1));
     cluster.remove_folder();
--- a/tests/integration/process_stop.rs
+++ b/tests/integration/process_stop.rs
@@ -1,11 +1,11 @@
-//! Planned stops, drains, overload and chains of calls.
+//! Planned stops, draining, overload and chains of calls between services.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use eyre::Result;
 use serde_json::json;
-use wisteriaturn_testing::client::{self, HttpLink};
+use wisteriaturn_testing::client::{self, HttpConnection};
 use wisteriaturn_testing::cluster::{ClusterPlan, TestCluster};
 use wisteriaturn_testing::metrics;
 
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_call() -> Result<()> {
+async fn a_planned_stop_interrupts_no_call() -> Result<()> {
     let mut cluster = portal_cluster(4, 3, 6).await?;
     let is_over = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
@@ -47,11 +47,11 @@
             Ok::<_, eyre::Report>(outcomes)
         }));
     }
-    // One node stops, then one target leaves by itself.
-    cluster.node(0).signal("TERM");
-    assert_eq!(cluster.node(0).wait().await?, 0);
+    // Stop one node, then one target whose node keeps running.
+    cluster.node_process(0).send_signal("TERM");
+    assert_eq!(cluster.node_process(0).wait().await?, 0);
     cluster.kill_node(0);
-    cluster.target_process(1).signal("TERM");
+    cluster.target_process(1).send_signal("TERM");
     assert_eq!(cluster.target_process(1).wait().await?, 0);
     cluster.wait_targets(3, "portal", 1).await?;
     is_over.store(true, Ordering::Relaxed);
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_call_outlives_the_stop_of_its_gate_and_its_ingress() -> Result<()> {
+async fn a_long_call_completes_while_its_gate_and_ingress_stop() -> Result<()> {
     let mut cluster = portal_cluster(2, 1, 6).await?;
     let mut calls = Vec::new();
     for index in 0..2 {
@@ -78,23 +78,23 @@
         }));
     }
     cluster
-        .wait("both calls to run", async || {
-            cluster.runs().get("long") == Some(&2)
+        .wait_for("both calls to run", async || {
+            cluster.run_counts().get("long") == Some(&2)
         })
         .await?;
-    cluster.node(0).signal("TERM");
-    cluster.node(1).signal("TERM");
+    cluster.node_process(0).send_signal("TERM");
+    cluster.node_process(1).send_signal("TERM");
     for call in calls {
         assert_eq!(call.await??.outcome(), "done");
     }
-    assert_eq!(cluster.node(0).wait().await?, 0);
-    assert_eq!(cluster.node(1).wait().await?, 0);
+    assert_eq!(cluster.node_process(0).wait().await?, 0);
+    assert_eq!(cluster.node_process(1).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn overload_is_shed_as_not_run_and_the_slots_stay_busy() -> Result<()> {
+async fn overload_is_refused_as_not_run_and_the_slots_stay_busy() -> Result<()> {
     let cluster = portal_cluster(3, 2, 2).await?;
     let mut calls = Vec::new();
     for number in 0..120 {
@@ -106,13 +106,16 @@
             Ok::<_, eyre::Report>((id.clone(), reply.outcome().to_owned()))
         }));
     }
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for call in calls {
-        told.push(call.await??);
+        results.push(call.await??);
     }
-    let runs = cluster.runs();
-    let done = told.iter().filter(|(_, outcome)| outcome == "done").count();
-    for (id, outcome) in &told {
+    let runs = cluster.run_counts();
+    let done = results
+        .iter()
+        .filter(|(_, outcome)| outcome == "done")
+        .count();
+    for (id, outcome) in &results {
         assert_ne!(outcome, "unknown");
         let expected = usize::from(outcome == "done");
         assert_eq!(
@@ -121,14 +124,14 @@
             "{id} {outcome}"
         );
     }
-    // Two targets with two slots and a queue of four for each slot.
+    // Two targets with two slots each and a queue of four calls per slot.
     assert!(done >= 20, "{done} of 120 were served");
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failing_leaf_is_not_hit_more_for_the_depth_of_the_chain() -> Result<()> {
+async fn errors_of_the_last_service_in_a_chain_are_not_retried() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 4,
         ..ClusterPlan::default()
@@ -152,15 +155,16 @@
         let reply = client::send(cluster.ingress(0), "GET", "/one", &headers, b"").await?;
         assert_eq!(reply.status, 503);
     }
-    // Each call runs once at each of the four depths: an answer of a target is
-    // an answer, whatever its status, and nobody retries it.
-    assert_eq!(cluster.runs()["chain"], calls * 4);
+    // Each call runs once at each of the four services. An answer of a target is
+    // never retried, whatever its status: retries at each level of a chain would
+    // multiply the load on the failing service.
+    assert_eq!(cluster.run_counts()["chain"], calls * 4);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_leaf_costs_no_more_than_the_retry_budget() -> Result<()> {
+async fn retries_to_killed_nodes_stay_within_the_budget() -> Result<()> {
     let mut cluster = portal_cluster(3, 2, 6).await?;
     cluster.kill_node(0);
     cluster.kill_node(1);
@@ -171,15 +175,16 @@
     }
     let text = cluster.metrics(2).await;
     let retries = metrics::sum(&text, "wisteriaturn_retries_total", "");
-    // Ten that are kept in reserve, one a second, and a tenth of the calls.
-    let most = 10.0 + f64::from(calls) / 10.0 + 60.0;
-    assert!(retries <= most, "{retries} retries of {calls} calls");
+    // A reserve of ten, a tenth of the calls, and one per second for up to a
+    // minute.
+    let budget = 10.0 + f64::from(calls) / 10.0 + 60.0;
+    assert!(retries <= budget, "{retries} retries of {calls} calls");
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_body_passes_in_bounded_memory() -> Result<()> {
+async fn a_large_body_is_streamed_in_bounded_memory() -> Result<()> {
     let cluster = portal_cluster(2, 1, 6).await?;
     let size = 100 * 1024 * 1024;
     let headers = [("x-answer-bytes", "104857600")];
@@ -188,22 +193,22 @@
     assert_eq!(reply.outcome(), "done");
     assert_eq!(reply.body.len(), size);
     for index in 0..2 {
-        let path = format!("/proc/{}/status", cluster.node_id(index));
+        let path = format!("/proc/{}/status", cluster.node_pid(index));
         let peak = std::fs::read_to_string(path)?
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:"))
             .and_then(|text| text.trim().trim_end_matches(" kB").parse::<u64>().ok())
             .unwrap_or(u64::MAX);
-        // The bound for a node's control is 128 MB; a body held whole would
-        // take 100 MB of it alone.
-        assert!(peak < 90 * 1024, "node {index} took {peak} kB");
+        // The control functions of a node may use 128 MB. Buffering the whole
+        // body would take 100 MB of it.
+        assert!(peak < 90 * 1024, "peak memory of node {index}: {peak} kB");
     }
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_whose_caller_left_does_not_start() -> Result<()> {
+async fn a_call_whose_caller_disconnected_does_not_start() -> Result<()> {
     let cluster = portal_cluster(2, 1, 1).await?;
     let (busy_ingress, ingress) = (cluster.ingress(1), cluster.ingress(1));
     let busy = tokio::spawn(async move {
@@ -211,8 +216,8 @@
         client::send(busy_ingress, "POST", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the slot to be taken", async || {
-            cluster.runs().contains_key("busy")
+        .wait_for("the slot to be taken", async || {
+            cluster.run_counts().contains_key("busy")
         })
         .await?;
     let gone = tokio::spawn(async move {
@@ -220,55 +225,55 @@
         client::send(ingress, "POST", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the second call to wait", async || {
+        .wait_for("the second call to wait", async || {
             cluster.status(0).await["calls_at_gate"] == json!(2)
         })
         .await?;
     gone.abort();
     let _ = gone.await;
     assert_eq!(busy.await??.outcome(), "done");
-    // A third call is served after the second would have been.
+    // The second call would have been served before this third one.
     let headers = [("x-run", "third")];
     client::send(cluster.ingress(1), "POST", "/portal", &headers, b"").await?;
-    assert!(!cluster.runs().contains_key("gone"));
+    assert!(!cluster.run_counts().contains_key("gone"));
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_is_sent_as_a_node_stops_is_served() -> Result<()> {
+async fn a_request_sent_while_a_node_stops_is_served() -> Result<()> {
     let mut cluster = portal_cluster(2, 1, 6).await?;
-    // Holds the stop open until the other request is there.
+    // Delays the end of the stop until the other request has arrived.
     let ingress = cluster.ingress(1);
     let held = tokio::spawn(async move {
         let headers = [("x-sleep-ms", "3000"), ("x-run", "held")];
         client::send(ingress, "GET", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the call to run", async || {
-            cluster.runs().contains_key("held")
+        .wait_for("the call to run", async || {
+            cluster.run_counts().contains_key("held")
         })
         .await?;
-    // A connection that has not brought a request yet.
-    let mut link = HttpLink::open(ingress).await?;
-    cluster.node(1).signal("TERM");
+    // A connection on which no request has been sent yet.
+    let mut connection = HttpConnection::open(ingress).await?;
+    cluster.node_process(1).send_signal("TERM");
     cluster
-        .wait("the node to close its ingress", async || {
+        .wait_for("the node to close its ingress", async || {
             let ready = client::get(cluster.admin(1), "/ready").await;
             ready.is_ok_and(|reply| reply.text().contains("Stopping"))
         })
         .await?;
-    let reply = link.send("GET", "/portal", &[], b"").await?;
+    let reply = connection.send("GET", "/portal", &[], b"").await?;
     assert_eq!(reply.outcome(), "done", "{}", reply.text());
     assert_eq!(reply.header("connection"), "close");
     assert_eq!(held.await??.outcome(), "done");
-    assert_eq!(cluster.node(1).wait().await?, 0);
+    assert_eq!(cluster.node_process(1).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gate_goes_on_while_callers_hear_that_its_node_stops() -> Result<()> {
+async fn a_lame_duck_node_still_serves_calls() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         tuning: "lame_duck_ms = 20000".to_owned(),
@@ -280,14 +285,14 @@
     for index in 0..2 {
         cluster.wait_targets(index, "portal", 1).await?;
     }
-    cluster.node(0).signal("TERM");
+    cluster.node_process(0).send_signal("TERM");
     cluster
-        .wait("the node to be unready", async || {
+        .wait_for("the node to be unready", async || {
             let ready = client::get(cluster.admin(0), "/ready").await;
             ready.is_ok_and(|reply| reply.status == 503)
         })
         .await?;
-    // Nobody else serves, and its target's slots are free.
+    // No other target serves the service, and this one has free slots.
     let reply = client::get(cluster.ingress(1), "/portal").await?;
     assert_eq!(reply.outcome(), "done", "{}", reply.text());
     let reply = client::get(cluster.ingress(0), "/portal").await?;
@@ -298,30 +303,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_stops_before_it_was_ready_denies_no_route() -> Result<()> {
+async fn a_node_that_stops_before_it_was_ready_reports_not_ready() -> Result<()> {
     let mut cluster = TestCluster::prepare(ClusterPlan {
         nodes: 1,
         tuning: "lame_duck_ms = 1000".to_owned(),
         ..ClusterPlan::default()
     })?;
-    // Without the log it learns no configuration and stays in its start.
+    // Without the log, the node gets no configuration and never becomes ready. It
+    // must not refuse calls for lack of a route that it can't know.
     cluster.start_node(0)?;
-    cluster.wait_node_open(0).await?;
-    cluster.node(0).signal("TERM");
+    cluster.wait_node_listening(0).await?;
+    cluster.node_process(0).send_signal("TERM");
     let mut replies = 0;
     while let Ok(reply) = client::get(cluster.ingress(0), "/portal").await {
         assert_eq!(reply.status, 503, "{}", reply.text());
         assert_eq!(reply.header("wisteriaturn-reason"), "not-ready");
         replies += 1;
     }
-    assert!(replies > 0, "the port stays open for the lame duck's time");
-    assert_eq!(cluster.node(0).wait().await?, 0);
+    assert!(replies > 0, "the port must stay open in lame duck");
+    assert_eq!(cluster.node_process(0).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_outlasts_the_drain_is_answered_and_not_just_cut() -> Result<()> {
+async fn a_call_that_outlasts_the_drain_timeout_gets_an_answer() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         tuning: "drain_timeout_ms = 1000".to_owned(),
@@ -337,21 +343,21 @@
         client::send(ingress, "GET", "/portal", &headers, b"").await
     });
     cluster
-        .wait("the call to run", async || {
-            cluster.runs().contains_key("longest")
+        .wait_for("the call to run", async || {
+            cluster.run_counts().contains_key("longest")
         })
         .await?;
-    cluster.node(1).signal("TERM");
+    cluster.node_process(1).send_signal("TERM");
     let reply = call.await??;
     assert_eq!((reply.status, reply.outcome()), (502, "unknown"));
     assert_eq!(reply.header("wisteriaturn-reason"), "draining");
-    assert_eq!(cluster.node(1).wait().await?, 0);
+    assert_eq!(cluster.node_process(1).wait().await?, 0);
     cluster.remove_folder();
     Ok(())
 }
 
-/// Known red, see KNOWN-RED.txt: what a node was told of a target that leaves
-/// does not outlive the node's process.
+/// Known red, see KNOWN-RED.txt: a node forgets the departure of a target when
+/// its process ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_node_refuses_late_words_of_a_target_that_left() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
@@ -360,7 +366,7 @@
     })
     .await?;
     cluster.add_service("portal", json!({})).await?;
-    let target = cluster.target(0);
+    let target = cluster.target_address(0);
     let announcement = |sequence: u64, draining: bool| {
         json!({
             "service": "portal", "address": target, "slots": 6, "instance": "t-1",
@@ -368,13 +374,13 @@
         })
         .to_string()
     };
-    let told = client::post(cluster.admin(0), "/v1/targets", &announcement(5, true)).await?;
-    assert_eq!(told.status, 200, "{}", told.text());
+    let accepted = client::post(cluster.admin(0), "/v1/targets", &announcement(5, true)).await?;
+    assert_eq!(accepted.status, 200, "{}", accepted.text());
     cluster.kill_node(0);
     cluster.start_node(0)?;
     cluster.wait_node_ready(0).await?;
     let late = client::post(cluster.admin(0), "/v1/targets", &announcement(4, false)).await?;
-    assert_ne!(late.status, 200, "the target had said that it leaves");
+    assert_ne!(late.status, 200, "the target announced its drain before");
     cluster.remove_folder();
     Ok(())
 }
--- a/wisteriaturnd/src/admin/view.rs
+++ b/wisteriaturnd/src/admin/view.rs
@@ -22,7 +22,7 @@
 use crate::admin::reply::{error_reply, json_reply, json_reply_with_etag};
 use crate::http::body::{BodyError, NodeBody, boxed};
 use crate::mesh::peer_client;
-use crate::mesh::peer_server::holders;
+use crate::mesh::peer_server::collect_holders;
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
@@ -58,8 +58,8 @@
     };
     let report = json!({
         "node": node.address(),
-        "region": node.place.region,
-        "data_centre": node.place.data_centre,
+        "region": node.location.region,
+        "data_centre": node.location.data_centre,
         "stage": format!("{:?}", node.current_stage()).to_lowercase(),
         "version": view.config.version,
         "services": view.config.services.len(),
@@ -170,7 +170,7 @@
             // real calls use.
             let mut load = lock(&node.load.service(name)).clone();
             let choice = choose_target(
-                &node.place,
+                &node.location,
                 &targets,
                 &service.policy,
                 &mut load,
@@ -205,11 +205,11 @@
 /// laggards.
 pub async fn convergence(node: &NodeHandle, version: ConfigVersion) -> Response<NodeBody> {
     let mut queries = tokio::task::JoinSet::new();
-    for (data_centre, relays) in node.far_relays() {
+    for (data_centre, relays) in node.remote_relays() {
         let node = node.clone();
         queries.spawn(async move { query_data_centre(&node, data_centre, relays, version).await });
     }
-    let mut reports = vec![reached_report(holders(node, version).await)];
+    let mut reports = vec![reached_report(collect_holders(node, version).await)];
     while let Some(Ok(report)) = queries.join_next().await {
         reports.push(report);
     }
--- a/wisteriaturnd/src/control/source.rs
+++ b/wisteriaturnd/src/control/source.rs
@@ -1,4 +1,5 @@
-//! What a node knows of the source of documents and of those who read it.
+//! The progress of a node in reading the document source, directly or through
+//! another member.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicBool;
@@ -9,61 +10,73 @@
 use wisteriaturn::ids::{ConfigVersion, Offset};
 use wisteriaturn::member::pull::PullLease;
 
-/// Time after which a version that peers hold is overdue: a pause between two
-/// reads and a read.
-const OVERDUE_TIME: Duration = Duration::from_millis(900);
+/// Time after which a version that peers hold is overdue: the pause between two
+/// reads plus a read.
+const OVERDUE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Where a node stands in its source; each part has a lock of its own.
+/// The state of reading the document source. Each field is synchronized
+/// separately.
 #[derive(Debug)]
-pub struct SourceStanding {
-    /// Newest version that the source named, once it was read.
-    pub version: watch::Sender<Option<ConfigVersion>>,
-    /// Whether this node reads the source at the moment.
+pub struct SourceState {
+    /// Newest version that this node has read from the source, or `None` before
+    /// the first read.
+    pub newest_version: watch::Sender<Option<ConfigVersion>>,
+    /// Whether this node currently reads the source itself.
     pub is_reading: AtomicBool,
     /// When the source last answered this node.
-    pub answered: Mutex<Option<Instant>>,
-    /// When the member that reads the source for this node last said so.
-    pub reader_heard: Mutex<Option<Instant>>,
-    /// How far the source was read, by this node or its reader: the version that
-    /// was in force then, and where reading goes on.
-    pub mark: Mutex<Option<(ConfigVersion, Offset)>>,
-    /// The pull of the configuration that is under way.
-    pub pulling: Mutex<PullLease>,
-    awaited: Mutex<Option<(ConfigVersion, Instant)>>,
+    pub answered_at: Mutex<Option<Instant>>,
+    /// When the last heartbeat of a reader, a member that reads the source for
+    /// this node, arrived.
+    pub reader_heard_at: Mutex<Option<Instant>>,
+    /// How far this node or its reader has read the source: the version in force
+    /// at that point and the offset of the next read.
+    pub read_position: Mutex<Option<(ConfigVersion, Offset)>>,
+    /// Keeps this node from pulling the configuration several times at once.
+    pub pull_lease: Mutex<PullLease>,
+    /// A version that a peer holds and this node lacks, and when this node heard
+    /// of it.
+    missing_version: Mutex<Option<(ConfigVersion, Instant)>>,
 }
 
-impl SourceStanding {
-    /// Returns the standing of a node that has read nothing.
+impl SourceState {
+    /// Returns the state of a node that has read nothing.
     pub fn new() -> Self {
         Self {
-            version: watch::Sender::new(None),
+            newest_version: watch::Sender::new(None),
             is_reading: AtomicBool::new(false),
-            answered: Mutex::default(),
-            reader_heard: Mutex::default(),
-            mark: Mutex::default(),
-            pulling: Mutex::default(),
-            awaited: Mutex::default(),
+            answered_at: Mutex::default(),
+            reader_heard_at: Mutex::default(),
+            read_position: Mutex::default(),
+            pull_lease: Mutex::default(),
+            missing_version: Mutex::default(),
         }
     }
 
-    /// Notes that a peer holds a version, of a node that holds `held`.
-    pub fn note_awaited(&self, version: ConfigVersion, held: ConfigVersion, now: Instant) {
-        let mut awaited = lock(&self.awaited);
-        if awaited.is_none_or(|(first, _)| first <= held) {
-            *awaited = Some((version, now));
+    /// Records that a peer holds `version` while this node holds `held`. An
+    /// earlier record stays until this node holds the recorded version, so that
+    /// further versions do not restart its timeout.
+    pub fn record_missing_version(
+        &self,
+        version: ConfigVersion,
+        held: ConfigVersion,
+        now: Instant,
+    ) {
+        let mut missing_version = lock(&self.missing_version);
+        if missing_version.is_none_or(|(first, _)| first <= held) {
+            *missing_version = Some((version, now));
         }
     }
 
-    /// Tells whether this node, which holds `held`, has heard of a version for
-    /// longer than getting it takes.
+    /// Returns `true` if this node, which holds `held`, has lacked a version of its
+    /// peers for longer than it normally takes to receive one.
     pub fn is_overdue(&self, held: ConfigVersion, now: Instant) -> bool {
-        lock(&self.awaited).is_some_and(|(first, since)| {
-            first > held && now.saturating_duration_since(since) >= OVERDUE_TIME
+        lock(&self.missing_version).is_some_and(|(first, since)| {
+            first > held && now.saturating_duration_since(since) >= OVERDUE_TIMEOUT
         })
     }
 }
 
-impl Default for SourceStanding {
+impl Default for SourceState {
     fn default() -> Self {
         Self::new()
     }
