--- a/tests/integration/inside_cut.rs
+++ b/tests/integration/in_process_link.rs
@@ -1,5 +1,5 @@
-//! A cut link between two nodes, with nodes inside the test's process so that
-//! one link of many can be cut.
+//! Failures of the link to a gate. The nodes run in the test's process, so that
+//! a single link between two of them can be cut.
 
 use std::sync::Arc;
 
@@ -15,8 +15,9 @@
 use wisteriaturnd::settings::NodeSettings;
 use wisteriaturnd::stream::memory::memory_log;
 
-/// Three nodes of which node 1 reaches the gate of node 0 only by `forwarder`, and
-/// a target beside node 0.
+/// Starts three nodes and a target of `dispatch` with one slot at node 0. Node 1
+/// reaches the gate of node 0 only through the returned forwarder; node 2 reaches
+/// it directly.
 async fn start() -> Result<(TestCluster, Vec<RunningNode>, Arc<TcpForwarder>)> {
     let plan = ClusterPlan {
         nodes: 3,
@@ -51,11 +52,13 @@
     Ok((cluster, nodes, forwarder))
 }
 
+/// Guards against the loss of an answer if the link to the gate is cut while the
+/// call runs. The node must get the result from the gate through another node.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_link_loses_no_answer_of_a_call_that_ran() -> Result<()> {
+async fn answer_of_a_running_call_survives_a_cut_link() -> Result<()> {
     let (cluster, _nodes, forwarder) = start().await?;
     let ingress = cluster.ingress(1);
-    let call = tokio::spawn(async move {
+    let pending_call = tokio::spawn(async move {
         let headers = [("x-run", "cut"), ("x-sleep-ms", "500")];
         client::send(ingress, "POST", "/dispatch", &headers, b"").await
     });
@@ -66,8 +69,8 @@
         .await?;
     forwarder.set_partitioned(true);
 
-    // Node 2 still reaches the gate, and asks for node 1.
-    let reply = call.await??;
+    // Node 2 can still reach the gate and sends the inquiry for node 1.
+    let reply = pending_call.await??;
     assert_eq!(reply.outcome(), "done", "{}", reply.text());
     assert_eq!(reply.json()["id"], json!("cut"));
     assert_eq!(reply.header("wisteriaturn-replayed"), "true");
@@ -76,20 +79,22 @@
     Ok(())
 }
 
+/// Guards against a call that is reported as not run but runs later. If the link
+/// is cut while the call waits for a slot, the gate must revoke it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_link_revokes_a_call_that_waits() -> Result<()> {
+async fn waiting_call_is_revoked_when_its_link_is_cut() -> Result<()> {
     let (cluster, nodes, forwarder) = start().await?;
-    let (busy, ingress) = (cluster.ingress(0), cluster.ingress(1));
-    let running = tokio::spawn(async move {
+    let (busy_ingress, ingress) = (cluster.ingress(0), cluster.ingress(1));
+    let running_call = tokio::spawn(async move {
         let headers = [("x-run", "busy"), ("x-sleep-ms", "2000")];
-        client::send(busy, "POST", "/dispatch", &headers, b"").await
+        client::send(busy_ingress, "POST", "/dispatch", &headers, b"").await
     });
     cluster
         .wait_for("the slot to be taken", async || {
             cluster.run_counts().contains_key("busy")
         })
         .await?;
-    let waiting = tokio::spawn(async move {
+    let waiting_call = tokio::spawn(async move {
         let headers = [("x-run", "waits")];
         client::send(ingress, "POST", "/dispatch", &headers, b"").await
     });
@@ -100,35 +105,41 @@
         .await?;
     forwarder.set_partitioned(true);
 
-    let reply = waiting.await??;
+    let reply = waiting_call.await??;
     assert_eq!(reply.outcome(), "not-run", "{}", reply.text());
-    assert_eq!(running.await??.outcome(), "done");
-    // The slot is free again, and what was revoked stays away from it.
+    assert_eq!(running_call.await??.outcome(), "done");
+    // The slot is free again, but the revoked call must not take it.
     let headers = [("x-run", "after")];
-    let after = client::send(cluster.ingress(0), "POST", "/dispatch", &headers, b"").await?;
-    assert_eq!(after.outcome(), "done");
+    let later_reply = client::send(cluster.ingress(0), "POST", "/dispatch", &headers, b"").await?;
+    assert_eq!(later_reply.outcome(), "done");
     assert!(!cluster.run_counts().contains_key("waits"));
     cluster.remove_folder();
     Ok(())
 }
 
+/// Guards against peers without the mesh key: their datagrams must be dropped and
+/// their connections closed after the handshake, each counted by cause.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stranger_at_the_peer_ports_is_dropped_and_counted() -> Result<()> {
+async fn unauthenticated_peers_are_dropped_and_counted() -> Result<()> {
     let (cluster, nodes, _link) = start().await?;
-    let stranger = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
-    stranger.send_to(&[0; 64], cluster.peer(0)).await?;
-    stranger.send_to(&[7; 1400], cluster.peer(0)).await?;
+    let unauthenticated_socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
+    unauthenticated_socket
+        .send_to(&[0; 64], cluster.peer(0))
+        .await?;
+    unauthenticated_socket
+        .send_to(&[7; 1400], cluster.peer(0))
+        .await?;
     for port in [cluster.peer(0), cluster.hop(0)] {
-        // A handshake with a wrong answer, then a request.
+        // Sends an invalid proof in the handshake, and then a request.
         let mut stream = tokio::net::TcpStream::connect(port).await?;
         stream.write_all(&[0; 16]).await?;
-        let mut hello = [0; 40];
-        stream.read_exact(&mut hello).await?;
+        let mut server_hello = [0; 40];
+        stream.read_exact(&mut server_hello).await?;
         stream.write_all(&[0; 16]).await?;
         let _ = stream.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await;
-        let mut rest = Vec::new();
-        let _ = stream.read_to_end(&mut rest).await;
-        assert!(rest.is_empty());
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received).await;
+        assert!(received.is_empty());
     }
     for cause in [
         "datagram-unauthenticated",
--- a/tests/integration/inside_regions.rs
+++ b/tests/integration/in_process_partition.rs
@@ -1,5 +1,5 @@
-//! Regions that lose each other, and half-cut links, with nodes inside the
-//! test's process so that chosen links can be cut.
+//! Network partitions between regions and between single nodes. The nodes run in
+//! the test's process, so that individual links can be cut.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,20 +19,21 @@
 use wisteriaturnd::settings::NodeSettings;
 use wisteriaturnd::stream::memory::memory_log;
 
-/// Where a cut link leads: nobody listens there.
-const NOWHERE: &str = "127.0.0.1:9";
+/// Address that a cut link connects to; nothing listens there.
+const UNREACHABLE_ADDRESS: &str = "127.0.0.1:9";
 
-/// Links that are cut, by the number of the node and the far address.
-type CutLinks = Arc<Mutex<HashSet<(usize, SocketAddr)>>>;
+/// The cut links, each by the index of the connecting node and the address that
+/// it connects to.
+type CutLinkSet = Arc<Mutex<HashSet<(usize, SocketAddr)>>>;
 
-struct InsideMesh {
+struct InProcessMesh {
     cluster: TestCluster,
     nodes: Vec<RunningNode>,
-    cut: CutLinks,
-    lost_log: Arc<Mutex<HashSet<usize>>>,
+    cut_links: CutLinkSet,
+    nodes_without_log: Arc<Mutex<HashSet<usize>>>,
 }
 
-impl InsideMesh {
+impl InProcessMesh {
     async fn start(count: usize, data_centres: usize) -> Result<Self> {
         let cluster = TestCluster::prepare(ClusterPlan {
             nodes: count,
@@ -43,16 +44,16 @@
             ..ClusterPlan::default()
         })?;
         let log = memory_log();
-        let cut = CutLinks::default();
-        let lost_log = Arc::new(Mutex::new(HashSet::new()));
+        let cut_links = CutLinkSet::default();
+        let nodes_without_log = Arc::new(Mutex::new(HashSet::new()));
         let mut nodes = Vec::new();
         for index in 0..count {
             let settings = NodeSettings::read(&cluster.settings_path(index))?;
-            let log = log_of(index, &log, &lost_log);
-            let links = Arc::clone(&cut);
+            let log = log_for_node(index, &log, &nodes_without_log);
+            let links = Arc::clone(&cut_links);
             let map = AddressMap::new(move |address| {
                 if lock(&links).contains(&(index, address)) {
-                    NOWHERE.parse().expect("an address")
+                    UNREACHABLE_ADDRESS.parse().expect("an address")
                 } else {
                     address
                 }
@@ -64,28 +65,28 @@
         Ok(Self {
             cluster,
             nodes,
-            cut,
-            lost_log,
+            cut_links,
+            nodes_without_log,
         })
     }
 
-    /// Cuts all links between two sets of nodes, both ways.
-    fn cut_between(&self, ones: &[usize], others: &[usize]) {
-        let mut links = lock(&self.cut);
-        for (one, other) in ones
+    /// Cuts all links between two groups of nodes, in both directions.
+    fn cut_between(&self, group: &[usize], other_group: &[usize]) {
+        let mut links = lock(&self.cut_links);
+        for (node, other_node) in group
             .iter()
-            .flat_map(|one| others.iter().map(move |o| (*one, *o)))
+            .flat_map(|node| other_group.iter().map(move |other| (*node, *other)))
         {
-            for (from, to) in [(one, other), (other, one)] {
+            for (from, to) in [(node, other_node), (other_node, node)] {
                 links.insert((from, self.cluster.peer(to)));
                 links.insert((from, self.cluster.hop(to)));
             }
         }
     }
 
-    fn heal(&self) {
-        lock(&self.cut).clear();
-        lock(&self.lost_log).clear();
+    fn restore_links(&self) {
+        lock(&self.cut_links).clear();
+        lock(&self.nodes_without_log).clear();
     }
 
     fn version(&self, index: usize) -> u64 {
@@ -99,7 +100,7 @@
             .map(|entry| entry.record.state)
     }
 
-    /// Waits until a node has sent so many bytes of probes more.
+    /// Waits until a node has sent `bytes` more bytes of probes.
     async fn wait_probes(&self, index: usize, bytes: f64) -> Result<()> {
         let sent = || {
             let text = self.nodes[index].node.metrics.encode(0);
@@ -112,35 +113,40 @@
     }
 }
 
-/// Returns the log as one node reaches it: not at all while it is cut off.
-fn log_of(index: usize, log: &LogPort, lost: &Arc<Mutex<HashSet<usize>>>) -> LogPort {
-    let is_lost = {
-        let lost = Arc::clone(lost);
-        move || lock(&lost).contains(&index)
+/// Returns the log as seen by node `index`: appends and reads fail while the
+/// node is in `cut_off_nodes`.
+fn log_for_node(
+    index: usize,
+    log: &LogPort,
+    cut_off_nodes: &Arc<Mutex<HashSet<usize>>>,
+) -> LogPort {
+    let is_cut_off = {
+        let cut_off_nodes = Arc::clone(cut_off_nodes);
+        move || lock(&cut_off_nodes).contains(&index)
     };
-    let (appending, reading) = (log.clone(), log.clone());
-    let is_append_lost = is_lost.clone();
+    let (append_log, read_log) = (log.clone(), log.clone());
+    let is_append_cut_off = is_cut_off.clone();
     LogPort::new(
         move |stream, data| {
-            let (log, is_lost) = (appending.clone(), is_append_lost());
+            let (log, is_cut_off) = (append_log.clone(), is_append_cut_off());
             Box::pin(async move {
-                if is_lost {
+                if is_cut_off {
                     return Err(LogError::Refused("cut".to_owned()));
                 }
                 log.append(&stream, data).await
             })
         },
         move |mut request| {
-            let (log, is_still_lost) = (reading.clone(), is_lost.clone());
-            let is_lost = is_lost();
-            // Short polls, so that a cut takes hold soon.
+            let (log, is_still_cut_off) = (read_log.clone(), is_cut_off.clone());
+            let is_cut_off = is_cut_off();
+            // Long polls are cut short, so that a lost log is noticed soon.
             request.wait = request.wait.min(std::time::Duration::from_millis(50));
             Box::pin(async move {
-                if is_lost {
+                if is_cut_off {
                     return Err(LogError::Refused("cut".to_owned()));
                 }
                 let batch = log.read(request).await;
-                if is_still_lost() {
+                if is_still_cut_off() {
                     return Err(LogError::Indeterminate("cut".to_owned()));
                 }
                 batch
@@ -153,20 +159,24 @@
     json!([{ "put": { "kind": "service", "name": name, "permit": ["127.0.0.0/8"] } }])
 }
 
+/// Guards against a partition between two regions that stops the region with the
+/// log, makes it suspect the members behind the partition, or leaves the other
+/// region behind once the links are restored.
 #[tokio::test(flavor = "multi_thread")]
-async fn regions_that_lose_each_other_go_on_and_meet_again() -> Result<()> {
-    // Nodes 0 to 3 stand in r1-a, r1-b, r2-a and r2-b, 4 to 7 likewise.
-    let mesh = InsideMesh::start(8, 4).await?;
-    let (near, far) = ([0, 1, 4, 5], [2, 3, 6, 7]);
-    mesh.cut_between(&near, &far);
-    lock(&mesh.lost_log).extend(far);
+async fn partitioned_regions_keep_working_and_converge_again() -> Result<()> {
+    // Nodes 0 to 3 are in the data centres r1-a, r1-b, r2-a and r2-b, and so are
+    // nodes 4 to 7.
+    let mesh = InProcessMesh::start(8, 4).await?;
+    let (connected_region, cut_off_region) = ([0, 1, 4, 5], [2, 3, 6, 7]);
+    mesh.cut_between(&connected_region, &cut_off_region);
+    lock(&mesh.nodes_without_log).extend(cut_off_region);
 
     let refused = mesh.cluster.apply(2, service("far")).await?;
     assert_eq!(refused.status, 503, "{}", refused.text());
     let version = mesh.cluster.apply_accepted(0, service("near")).await?;
-    for index in near {
+    for index in connected_region {
         mesh.cluster
-            .wait_for("the near region to converge", async || {
+            .wait_for("the region with the log to converge", async || {
                 mesh.version(index) >= version
             })
             .await?;
@@ -180,17 +190,17 @@
         Some(4),
         "{report}"
     );
-    // The cut says nothing about the nodes behind it.
+    // Nodes behind the partition must not become suspects.
     mesh.wait_probes(0, 6_000.0).await?;
-    for of in far {
+    for of in cut_off_region {
         assert_eq!(mesh.state(0, of), Some(MemberState::Alive));
-        assert_eq!(mesh.version(of), 0, "nothing came through the cut");
+        assert_eq!(mesh.version(of), 0, "the partition must block the change");
     }
 
-    mesh.heal();
-    for index in far {
+    mesh.restore_links();
+    for index in cut_off_region {
         mesh.cluster
-            .wait_for("the far region to catch up", async || {
+            .wait_for("the other region to catch up", async || {
                 mesh.version(index) >= version
             })
             .await?;
@@ -198,38 +208,45 @@
     let version = mesh.cluster.apply_accepted(3, service("far")).await?;
     let path = format!("/v1/convergence?version={version}");
     mesh.cluster
-        .wait_for("all to hold a change of the far region", async || {
-            let report = client::get(mesh.cluster.admin(0), &path).await;
-            report.is_ok_and(|report| report.json()["converged"] == json!(true))
-        })
+        .wait_for(
+            "all nodes to hold a change made in the other region",
+            async || {
+                let report = client::get(mesh.cluster.admin(0), &path).await;
+                report.is_ok_and(|report| report.json()["converged"] == json!(true))
+            },
+        )
         .await?;
     mesh.cluster.remove_folder();
     Ok(())
 }
 
+/// Guards against false suspicion: one cut link must not make a reachable node a
+/// suspect, and a node that loses all links must not declare the others dead.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_half_cut_link_makes_no_suspect_and_a_full_cut_does() -> Result<()> {
-    let mesh = InsideMesh::start(5, 1).await?;
-    // Node 1 cannot reach node 0, but others can, and answer for it.
-    lock(&mesh.cut).insert((1, mesh.cluster.peer(0)));
+async fn one_cut_link_is_tolerated_and_an_isolated_node_is_declared_dead() -> Result<()> {
+    let mesh = InProcessMesh::start(5, 1).await?;
+    // Node 1 cannot reach node 0 directly, but the indirect probes through other
+    // nodes succeed.
+    lock(&mesh.cut_links).insert((1, mesh.cluster.peer(0)));
     mesh.wait_probes(1, 8_000.0).await?;
     for at in 0..5 {
         assert_eq!(mesh.state(at, 0), Some(MemberState::Alive), "at {at}");
     }
     mesh.cut_between(&[0], &[1, 2, 3, 4]);
     mesh.cluster
-        .wait_for("node 0 to be dead to the others", async || {
+        .wait_for("the others to declare node 0 dead", async || {
             (1..5).all(|at| mesh.state(at, 0) == Some(MemberState::Dead))
         })
         .await?;
-    // Node 0 sees all others vanish, and takes its own link for the cause.
+    // To node 0, all others appear lost, so it must assume a fault of its own
+    // link.
     mesh.wait_probes(0, 3_000.0).await?;
     for of in 1..5 {
         assert_ne!(mesh.state(0, of), Some(MemberState::Dead), "of {of}");
     }
-    mesh.heal();
+    mesh.restore_links();
     mesh.cluster
-        .wait_for("node 0 to be back", async || {
+        .wait_for("the others to see node 0 alive again", async || {
             (1..5).all(|at| mesh.state(at, 0) == Some(MemberState::Alive))
         })
         .await?;
