--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -86,12 +86,16 @@
     wait_for_ack(node, nonce, receiver, wait).await.is_some()
 }
 
+/// Registers a ping, so that an acknowledgement with its nonce is delivered to the
+/// returned receiver.
 fn register_ping(node: &NodeState, nonce: u64) -> oneshot::Receiver<NodeStatus> {
     let (sender, receiver) = oneshot::channel();
     lock(&node.pending_pings).insert(nonce, sender);
     receiver
 }
 
+/// Waits up to `wait` for the acknowledgement of a registered ping and then
+/// unregisters the ping.
 async fn wait_for_ack(
     node: &NodeState,
     nonce: u64,
@@ -181,6 +185,7 @@
     }
 }
 
+/// Pings a member for another node and reports to that node if it answered.
 async fn ping_on_behalf(node: NodeHandle, requester: SocketAddr, nonce: u64, target: NodeAddress) {
     if lock(&node.table).get(target).is_none() {
         return;
@@ -219,6 +224,8 @@
     }
 }
 
+/// Applies a pushed configuration record and pushes it on if it was new. If the
+/// record is only announced or earlier ones are missing, pulls from the sender.
 async fn handle_record(
     node: &NodeHandle,
     from: SocketAddr,
@@ -241,12 +248,12 @@
 /// Folds a configuration record into the store and publishes the resulting
 /// view.
 pub fn apply_record(node: &NodeState, version: ConfigVersion, record: &Bytes) -> FoldOutcome {
-    let step = lock(&node.store).fold(version, record);
-    if let FoldOutcome::Folded(verdict) = &step {
+    let outcome = lock(&node.store).fold(version, record);
+    if let FoldOutcome::Folded(verdict) = &outcome {
         node.publish_view();
         log::info!(event = "folded", version:% = version, verdict:? = verdict; "config");
     }
-    step
+    outcome
 }
 
 /// Pushes a configuration record to a few random nodes of the data centre.
@@ -260,8 +267,8 @@
     }
 }
 
-/// Returns as many random live members of the data centre as the gossip fanout,
-/// or all others if there are fewer.
+/// Returns up to `fanout` random live members of this node's data centre, without
+/// this node.
 pub fn fanout_peers(node: &NodeState) -> Vec<NodeAddress> {
     let fanout = node.settings.tuning.fanout;
     random_peers(&lock(&node.table), fanout, &mut rand::rng())
--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -83,6 +83,7 @@
         kind: TrafficKind,
     ) -> Result<PeerAnswer, LinkError> {
         let message = encode_frame(request)?;
+        // Counts the IP and TCP headers of one packet as well.
         node.record_sent(kind, self.peer, message.len() + 40);
         timeout(REQUEST_TIMEOUT, self.exchange(Bytes::from(message))).await?
     }
@@ -189,8 +190,8 @@
     has_applied
 }
 
-/// Applies a delta. Returns `true` if this node now holds the version that the
-/// delta leads to, or a later one.
+/// Adopts the document that a delta leads to. Returns `true` if this node now
+/// holds that version or a later one, and `false` if the delta does not apply.
 fn adopt_delta(node: &NodeHandle, delta: &DocumentDelta) -> bool {
     let adopted = lock(&node.store).adopt_delta(delta);
     match adopted {
@@ -242,6 +243,8 @@
     });
 }
 
+/// Compares the digests of each data centre with a peer's and exchanges the
+/// records of those that differ.
 async fn run_anti_entropy(node: &NodeHandle, peer: NodeAddress) -> Result<(), LinkError> {
     let kind = TrafficKind::AntiEntropy;
     let mut connection = PeerConnection::open(node, peer).await?;
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -67,6 +67,8 @@
     }
 }
 
+/// Answers the requests on a connection until the peer closes it or it has been
+/// idle for [`IDLE_TIMEOUT`].
 async fn serve(
     node: &NodeHandle,
     mut stream: TcpStream,
@@ -92,7 +94,8 @@
         };
         let request: PeerRequest = decode_frame(&frame.map_err(connection_lost)?)?;
         let (peer, kind) = (sender_of(&request), traffic_kind(&request));
-        let answer = encode_frame(&handle(node, request, transfer_permits).await)?;
+        let answer = encode_frame(&answer_request(node, request, transfer_permits).await)?;
+        // Counts the IP and TCP headers of one packet as well.
         if let Some(peer) = peer {
             node.record_sent(kind, peer, answer.len() + 40);
         } else {
@@ -123,14 +126,14 @@
     }
 }
 
-async fn handle(
+async fn answer_request(
     node: &NodeHandle,
     request: PeerRequest,
     transfer_permits: &Semaphore,
 ) -> PeerAnswer {
     match request {
         PeerRequest::Join { record, digests } => match transfer_permits.try_acquire() {
-            Ok(_permit) => join(node, record, &digests).await,
+            Ok(_permit) => answer_join(node, record, &digests).await,
             Err(_) => PeerAnswer::Busy,
         },
         PeerRequest::Compare { digests } => {
@@ -139,8 +142,8 @@
         PeerRequest::Exchange {
             data_centres,
             records,
-        } => merge_and_return_missing(node, &data_centres, records),
-        PeerRequest::Pull { version } => pull_answer(node, version, transfer_permits),
+        } => answer_exchange(node, &data_centres, records),
+        PeerRequest::Pull { version } => answer_pull(node, version, transfer_permits),
         PeerRequest::Holders { version } => {
             PeerAnswer::Holders(collect_holders(node, version).await)
         }
@@ -171,7 +174,7 @@
 
 /// Answers a join. Merges and spreads the record of the joining node if its
 /// incarnation is higher than the one known.
-async fn join(
+async fn answer_join(
     node: &NodeHandle,
     record: MemberRecord,
     digests: &BTreeMap<DataCentre, u64>,
@@ -205,9 +208,9 @@
     }
 }
 
-/// Merges the records that a peer has sent and returns those of the given data
-/// centres that the peer lacks or has older versions of.
-fn merge_and_return_missing(
+/// Answers an exchange of member records: merges those that the peer has sent and
+/// returns those of the given data centres that it lacks or has older versions of.
+fn answer_exchange(
     node: &NodeHandle,
     data_centres: &[DataCentre],
     records: Vec<MemberRecord>,
@@ -228,9 +231,9 @@
     PeerAnswer::Records(missing)
 }
 
-/// Returns the newer records if they are still kept, else a delta, else a
-/// snapshot.
-fn pull_answer(
+/// Answers a pull with the newer records if they are still kept, otherwise with a
+/// delta or a snapshot. A snapshot needs a transfer permit.
+fn answer_pull(
     node: &NodeHandle,
     version: ConfigVersion,
     transfer_permits: &Semaphore,
