--- a/wisteriaturnd/src/claims/client.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -4,7 +4,7 @@
 //! flight and sends them together, so that a keeper receives one message for many
 //! calls. If a request fails, the task sends it again, to another keeper if the
 //! member table by then assigns the stream to one. Sending a claim twice is safe,
-//! because an execution that already holds its key wins again.
+//! because a claim by the execution that already holds the key is won again.
 
 use std::time::{Duration, Instant};
 
--- a/wisteriaturnd/src/claims/keeper.rs
+++ b/wisteriaturnd/src/claims/keeper.rs
@@ -73,9 +73,9 @@
     /// Appends the items of a request to the log and returns their outcomes.
     pub async fn submit(&self, node: &NodeHandle, request: ClaimRequest) -> Vec<ClaimOutcome> {
         let count = request.items.len();
-        let refused = || vec![ClaimOutcome::Unavailable; count];
+        let unavailable = || vec![ClaimOutcome::Unavailable; count];
         let Some(queue) = self.queues.get(request.stream as usize) else {
-            return refused();
+            return unavailable();
         };
         let (reply, outcomes) = oneshot::channel();
         let queued = QueuedRequest {
@@ -84,9 +84,9 @@
         };
         if queue.try_send(queued).is_err() {
             node.metrics.record_drop("claim-queue-full");
-            return refused();
+            return unavailable();
         }
-        outcomes.await.unwrap_or_else(|_| refused())
+        outcomes.await.unwrap_or_else(|_| unavailable())
     }
 }
 
@@ -296,18 +296,18 @@
         self.table.get_or_insert_with(ClaimTable::default)
     }
 
-    /// Returns an error if the table has no capacity for `items` more keys, even
-    /// after expired ones are removed.
+    /// Returns an error if the table has no capacity for `item_count` more keys,
+    /// even after expired ones are removed.
     ///
     /// This bounds the keeper's memory. A call whose key can't be claimed doesn't
-    /// run, so its outcome `not-run` is true.
-    fn check_key_limit(&mut self, items: usize) -> Result<(), LogError> {
-        if self.table().len() + items <= MAX_KEYS_PER_STREAM {
+    /// run, so it is correctly answered as `not-run`.
+    fn check_key_limit(&mut self, item_count: usize) -> Result<(), LogError> {
+        if self.table().len() + item_count <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
         let now_ms = self.node.clock.unix_millis();
         self.table().remove_expired(now_ms, CLOCK_SKEW);
-        if self.table().len() + items <= MAX_KEYS_PER_STREAM {
+        if self.table().len() + item_count <= MAX_KEYS_PER_STREAM {
             return Ok(());
         }
         self.node.metrics.record_drop("claim-keys-over-limit");
--- a/wisteriaturnd/src/gate/answer.rs
+++ b/wisteriaturnd/src/gate/answer.rs
@@ -90,8 +90,8 @@
     response
 }
 
-/// Returns the response to a caller whose call was inquired about at its gate.
-/// `reason` is used if the gate does not have the answer.
+/// Returns the response for a call, given its gate's answer to an inquiry. `reason`
+/// is used if the gate does not have the result.
 pub fn inquiry_response(answer: &InquiryAnswer, reason: RefusalReason) -> Response<NodeBody> {
     match answer {
         InquiryAnswer::NotRun(cause) => refusal(CallOutcome::NotRun, *cause),
--- a/wisteriaturnd/src/gate/crash.rs
+++ b/wisteriaturnd/src/gate/crash.rs
@@ -60,9 +60,9 @@
         .is_ok()
 }
 
-/// Checks whether the target's process is gone. If it is, withdraws the target
-/// and records the loss against the request, unless a request with the same
-/// fingerprint completed recently. Returns `true` if the request is now suspect.
+/// Checks whether the target's process is gone and, if it is, withdraws the target.
+/// The request becomes suspect unless a request with the same fingerprint completed
+/// recently. Returns `true` if the request is now suspect.
 pub async fn check_crash(node: &NodeHandle, call: &GateCall, address: SocketAddr) -> bool {
     if !is_process_gone(address).await {
         return false;
--- a/wisteriaturnd/src/gate/port.rs
+++ b/wisteriaturnd/src/gate/port.rs
@@ -34,7 +34,7 @@
     is_for_callers: false,
 };
 
-/// Timeout for the result of a running call about which a node inquires.
+/// How long an inquiry waits for the result of a call that is running.
 const INQUIRY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Accepts connections until the node stops.
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -232,8 +232,8 @@
         };
         let timeout = self.node.settings.tuning.stall_timeout;
         let body = pooled_body(body, connection, &self.node.target_pool, timeout, |_| ());
-        let until = self.call.deadline.at().into();
-        match timeout_at(until, BufferedBody::read(body, MAX_STORED_BODY_BYTES)).await {
+        let deadline = self.call.deadline.at().into();
+        match timeout_at(deadline, BufferedBody::read(body, MAX_STORED_BODY_BYTES)).await {
             Ok(Ok(BufferedBody::Whole(body))) => self.store(StoredAnswer { body, ..answer }),
             Ok(Ok(large)) => self.stream(&answer, large),
             Ok(Err(_)) => self.finish_lost(RefusalReason::TargetLost).await,
--- a/wisteriaturnd/src/gate/send.rs
+++ b/wisteriaturnd/src/gate/send.rs
@@ -49,9 +49,9 @@
         headers::set(map, node.edge_headers.expected_instance.clone(), instance);
     }
     let may_encode = map.contains_key(ACCEPT_ENCODING);
-    let until = call.deadline.at().into();
+    let deadline = call.deadline.at().into();
     loop {
-        let sent = timeout_at(until, exchange::send(&mut connection, request)).await;
+        let sent = timeout_at(deadline, exchange::send(&mut connection, request)).await;
         match sent {
             Ok(Ok(response)) => {
                 return check(node, call, target, may_encode, response, connection).await;
--- a/wisteriaturnd/src/http/body.rs
+++ b/wisteriaturnd/src/http/body.rs
@@ -43,7 +43,7 @@
     body.map_err(Into::into).boxed_unsync()
 }
 
-/// A body of which the first bytes are buffered.
+/// A body whose first bytes are buffered.
 #[derive(Debug)]
 pub enum BufferedBody {
     /// The complete body. It can be sent any number of times.
--- a/wisteriaturnd/src/http/pool.rs
+++ b/wisteriaturnd/src/http/pool.rs
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`LinkError`] if no connection can be opened. Nothing of a call
+    /// Returns a [`LinkError`] if no connection can be opened. No part of a request
     /// was sent in that case.
     pub async fn acquire(&self, address: SocketAddr) -> Result<PooledConnection, LinkError> {
         if let Some(connection) = self.take_idle(address) {
--- a/wisteriaturnd/src/ingress/attempt.rs
+++ b/wisteriaturnd/src/ingress/attempt.rs
@@ -36,8 +36,8 @@
 use crate::mesh::hop::{self, GateCall, HopResult};
 use crate::node::NodeHandle;
 
-/// Maximum number of attempts per call, including those that a gate refused
-/// except as `crowded`.
+/// Maximum number of attempts per call. Attempts that a gate refused as `crowded`
+/// are not counted.
 const MAX_ATTEMPTS: usize = 4;
 
 /// Maximum number of attempts per call that may reach a target, for routes that
@@ -52,7 +52,7 @@
 /// How long a target is ejected after its gate could not be reached.
 const UNREACHABLE_EJECTION_TIME: Duration = Duration::from_secs(1);
 
-/// Minimum delay that a refused caller is asked to wait before it retries.
+/// Minimum delay before a refused caller may retry, added to the jittered delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Delay before a caller may retry, if no gate reported when it expects to have
@@ -69,7 +69,7 @@
     pub route: Arc<RouteEntry>,
     /// The service that was chosen from those of the route.
     pub service: Arc<ServiceEntry>,
-    /// The caller's request ID.
+    /// The caller's request id.
     pub request_id: Option<HeaderValue>,
     /// The time up to which the answer has its full value, from the route's target
     /// latency.
@@ -89,7 +89,7 @@
 }
 
 impl RoutedCall {
-    /// Returns the caller's request ID, sanitized for log lines.
+    /// Returns the caller's request id, sanitized for log lines.
     pub(crate) fn loggable_request_id(&self) -> Sanitized<'_> {
         Sanitized::from_header(self.request_id.as_ref())
     }
@@ -173,13 +173,13 @@
     let no_target = || refusal(CallOutcome::NotRun, RefusalReason::NoTarget);
     let mut response = possibly_run.or(not_run).unwrap_or_else(no_target);
     let retry_after = history.expected_wait.unwrap_or(DEFAULT_RETRY_AFTER);
-    node.set_retry_after(&mut response, add_jitter(retry_after));
+    node.set_retry_after(&mut response, jittered_retry_after(retry_after));
     response
 }
 
-/// Adds random jitter to a retry delay, so that callers that were refused
+/// Returns a retry delay with random jitter, so that callers that were refused
 /// together don't all retry at once.
-fn add_jitter(retry_after: Duration) -> Duration {
+fn jittered_retry_after(retry_after: Duration) -> Duration {
     retry_after.mul_f64(rand::rng().random_range(0.8..1.6)) + MIN_RETRY_AFTER
 }
 
--- a/wisteriaturnd/src/ingress/call.rs
+++ b/wisteriaturnd/src/ingress/call.rs
@@ -134,7 +134,8 @@
     permit: Option<RoutePermit>,
 }
 
-/// Waits until the node is stopping and the time for calls in flight is over.
+/// Waits until the node reaches [`NodeStage::Closing`], in which calls in flight
+/// are interrupted.
 async fn wait_until_closing(node: &NodeHandle) {
     let mut stage = node.stage.subscribe();
     // This can't fail, because `node` keeps the sender alive.
@@ -209,8 +210,8 @@
     request: &Request<NodeBody>,
 ) -> Result<(), RefusalReason> {
     let map = request.headers();
-    let has_both = map.contains_key(CONTENT_LENGTH) && map.contains_key(TRANSFER_ENCODING);
-    let is_large = request.body().size_hint().lower() > max_body_bytes(node, view);
+    let has_two_framings = map.contains_key(CONTENT_LENGTH) && map.contains_key(TRANSFER_ENCODING);
+    let is_body_too_large = request.body().size_hint().lower() > max_body_bytes(node, view);
     let max_head_bytes = view
         .config
         .limits
@@ -218,8 +219,8 @@
         .map_or(MAX_HEAD_BYTES, |limits| {
             usize::try_from(limits.max_head_bytes).unwrap_or(MAX_HEAD_BYTES)
         });
-    if has_both
-        || is_large
+    if has_two_framings
+        || is_body_too_large
         || head_bytes(request) > max_head_bytes.min(MAX_HEAD_BYTES)
         || map.get_all(HOST).iter().count() > 1
     {
@@ -231,9 +232,9 @@
 /// Returns the maximum size of a request body in bytes: the lower of the limits in
 /// the node's settings and in the configuration.
 fn max_body_bytes(node: &NodeHandle, view: &ServingView) -> u64 {
-    let own = node.settings.tuning.max_body_bytes;
+    let node_limit = node.settings.tuning.max_body_bytes;
     let limits = view.config.limits.as_ref();
-    limits.map_or(own, |limits| own.min(limits.max_body_bytes))
+    limits.map_or(node_limit, |limits| node_limit.min(limits.max_body_bytes))
 }
 
 /// Returns the size of a request's head in bytes. The buffer limit of the
--- a/wisteriaturnd/src/ingress/pipeline.rs
+++ b/wisteriaturnd/src/ingress/pipeline.rs
@@ -1,11 +1,10 @@
 //! HTTP pipelining: requests that a caller sends before the previous ones are
 //! answered.
 //!
-//! It is made for a load pattern in which a caller sends several reads at once on
-//! one connection. hyper serves one request at a time, so the last one would wait
-//! until all the others have run. This module scans the request heads on their way
-//! to hyper and starts those calls early. When hyper gets to a request, its call is
-//! already in flight.
+//! Some callers send several reads at once on one connection. hyper serves one
+//! request at a time, so the last one would wait until all the others have run.
+//! This module scans the request heads on their way to hyper and starts those calls
+//! early. When hyper gets to a request, its call is already in flight.
 //!
 //! hyper alone decides where a request begins and ends. If the scanner parses a
 //! head differently, or hyper never reads that request, the early call matches none
@@ -153,7 +152,7 @@
     /// Number of requests that the scanner has found.
     scanned: u64,
     /// Number of requests that hyper has read.
-    started: u64,
+    read: u64,
     /// Number of requests that were answered.
     answered: u64,
     early: VecDeque<EarlyCall>,
@@ -179,8 +178,8 @@
     pub async fn answer(&self, request: Request<Incoming>) -> Response<NodeBody> {
         let early = {
             let mut state = lock(&self.state);
-            let index = state.started;
-            state.started += 1;
+            let index = state.read;
+            state.read += 1;
             state.early.retain(|early| early.index >= index);
             match state.early.front() {
                 Some(early) if early.index == index => state.early.pop_front(),
@@ -205,7 +204,7 @@
             let index = state.scanned;
             state.scanned += 1;
             // If all requests before this one are answered, hyper will read it now.
-            let is_next = index == state.started && state.started == state.answered;
+            let is_next = index == state.read && state.read == state.answered;
             if is_next || state.early.len() >= MAX_EARLY_CALLS {
                 continue;
             }
--- a/wisteriaturnd/src/ingress/selection.rs
+++ b/wisteriaturnd/src/ingress/selection.rs
@@ -1,4 +1,4 @@
-//! Target selection for the attempts of a call, and its log line.
+//! Selects the target of each attempt of a call and logs the choice.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/wisteriaturnd/src/stream/client.rs
+++ b/wisteriaturnd/src/stream/client.rs
@@ -1,8 +1,7 @@
 //! An HTTP client for log services, independent of the protocol on top of it.
 //!
-//! What every such protocol has to know about a failed request is whether it
-//! may have been sent, because only a write that was not sent can be retried
-//! safely.
+//! Its errors state whether a failed request may have been sent, because only a
+//! write that was not sent can be retried safely.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -79,14 +78,14 @@
             .body(full(body))
             .map_err(|error| refused(error.to_string()))?;
         loop {
-            let mut link = self
+            let mut connection = self
                 .pool
                 .acquire(self.address)
                 .await
                 .map_err(|error| refused(error.to_string()))?;
-            let response = match exchange::send(&mut link, request).await {
+            let response = match exchange::send(&mut connection, request).await {
                 Ok(response) => response,
-                Err(ExchangeError::Unsent(unsent)) if link.is_reused => {
+                Err(ExchangeError::Unsent(unsent)) if connection.is_reused => {
                     request = *unsent;
                     continue;
                 }
@@ -101,7 +100,7 @@
                 .await
                 .map_err(|error| indeterminate(error.to_string()))?
                 .to_bytes();
-            self.pool.release(link);
+            self.pool.release(connection);
             return Ok((status, body));
         }
     }
