--- a/wisteriaturnd/src/control/start.rs
+++ b/wisteriaturnd/src/control/start.rs
@@ -32,7 +32,7 @@
 /// Maximum number of peers, in addition to the seeds, to ask in one round.
 const MAX_PEERS_PER_ROUND: usize = 4;
 
-/// Rounds in which a node that is neither a seed nor a relay does not read the
+/// Number of rounds in which a node that is neither a seed nor a relay does not read the
 /// log, since the seeds and relays may serve it the configuration.
 const ROUNDS_BEFORE_LOG: u32 = 3;
 
@@ -119,8 +119,8 @@
     let mut report = JoinReport::default();
     let mut asked = BTreeSet::from([node.address()]);
     // A seed's answer names the other members. When many nodes restart at once,
-    // the remaining requests go to these members, nearest first, and not to the
-    // few seeds.
+    // the remaining requests go to these members, those of the same data centre
+    // first, and not to the few seeds.
     let mut seeds = node.settings.seeds.clone();
     seeds.shuffle(&mut rand::rng());
     for seed in seeds {
@@ -132,7 +132,7 @@
         }
     }
     for _ in 0..MAX_PEERS_PER_ROUND {
-        let Some(peer) = nearest_unasked(node, &asked) else {
+        let Some(peer) = choose_unasked_peer(node, &asked) else {
             break;
         };
         if report.ready_peers >= MIN_READY_PEERS {
@@ -146,7 +146,7 @@
 
 /// Returns a random live member that has not been asked, preferably one in the
 /// same data centre.
-fn nearest_unasked(node: &NodeHandle, asked: &BTreeSet<NodeAddress>) -> Option<NodeAddress> {
+fn choose_unasked_peer(node: &NodeHandle, asked: &BTreeSet<NodeAddress>) -> Option<NodeAddress> {
     let table = lock(&node.table);
     let mut near = Vec::new();
     let mut far = Vec::new();
@@ -261,9 +261,9 @@
 /// that two parts of a mesh that started separately find each other. Never
 /// returns.
 pub async fn reseed_task(node: NodeHandle) {
-    const INTERVAL: Duration = Duration::from_secs(5);
+    const RESEED_INTERVAL: Duration = Duration::from_secs(5);
     loop {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(RESEED_INTERVAL).await;
         let unknown_seeds: Vec<NodeAddress> = {
             let table = lock(&node.table);
             let is_unknown =
--- a/wisteriaturnd/src/mesh/directory.rs
+++ b/wisteriaturnd/src/mesh/directory.rs
@@ -18,9 +18,9 @@
 use crate::mesh::peer_client::merge_records;
 use crate::node::NodeHandle;
 
-/// Shortest and longest pause, before jitter, after an attempt to register that
-/// failed.
-const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
+/// Minimum and maximum pause after a failed registration, before jitter; each
+/// failure doubles it.
+const REGISTER_BACKOFF: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
 
 /// Time between two reads of the directory. Reads are billed, and a split of the
 /// mesh is rare.
@@ -33,11 +33,11 @@
 /// Registers this node in the directory, then periodically discovers other
 /// nodes and removes stale entries, for as long as the node runs.
 pub async fn directory_task(node: NodeHandle, port: DirectoryPort) {
-    let mut backoff = BACKOFF_RANGE.0;
+    let mut backoff = REGISTER_BACKOFF.0;
     while let Err(error) = register(&node, &port).await {
         log::warn!(event = "directory-entry-failed", error:% = error; "member");
         tokio::time::sleep(jittered(backoff)).await;
-        backoff = (backoff * 2).min(BACKOFF_RANGE.1);
+        backoff = (backoff * 2).min(REGISTER_BACKOFF.1);
     }
     loop {
         tokio::time::sleep(jittered(REFRESH_INTERVAL)).await;
--- a/wisteriaturnd/src/mesh/gossip.rs
+++ b/wisteriaturnd/src/mesh/gossip.rs
@@ -30,12 +30,12 @@
 /// count of control bytes, which is what the network carries.
 const UDP_HEADER_BYTES: usize = 28;
 
-/// Largest configuration record that is sent within a datagram. A larger one
-/// is only announced, and the receiver pulls it.
+/// Maximum size of a configuration record that is sent within a datagram. A larger
+/// one is only announced, and the receiver pulls it.
 const MAX_INLINE_RECORD_BYTES: usize = MAX_DATAGRAM_BYTES - TAG_LENGTH - 32;
 
-/// Sends a datagram. Errors are ignored: what a lost datagram carried is
-/// recovered after a later probe.
+/// Sends a datagram. Errors are ignored: a later probe reveals what the receiver
+/// has missed, and the data is then transferred over a connection.
 pub async fn send(node: &NodeState, to: SocketAddr, datagram: &Datagram, kind: TrafficKind) {
     let Ok(message) = encode(datagram) else {
         return;
--- a/wisteriaturnd/src/mesh/handshake.rs
+++ b/wisteriaturnd/src/mesh/handshake.rs
@@ -15,7 +15,7 @@
 
 use crate::error::LinkError;
 
-/// Time limit for the whole handshake.
+/// Timeout for the whole handshake.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Length of a challenge in bytes.
--- a/wisteriaturnd/src/mesh/hop.rs
+++ b/wisteriaturnd/src/mesh/hop.rs
@@ -34,12 +34,12 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
-/// Largest number of nodes through which an inquiry is sent if the gate cannot
+/// Maximum number of nodes through which an inquiry is sent if the gate cannot
 /// be reached directly.
 const MAX_INTERMEDIARIES: usize = 2;
 
-/// Minimum time for resolving a lost call, even after its deadline: the caller
-/// still needs to know whether the call has run.
+/// Minimum time for resolving the outcome of a lost call, even after its deadline,
+/// because the caller still needs to know whether the call has run.
 const MIN_INQUIRY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Inquiry that revokes a call if it has not started, and otherwise asks for its
--- a/wisteriaturnd/src/mesh/peer_client.rs
+++ b/wisteriaturnd/src/mesh/peer_client.rs
@@ -24,7 +24,7 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeState};
 
-/// Time limit for a request and its answer.
+/// Timeout for a request and its answer.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Size of the packets without data that each side of a TCP connection sends to
--- a/wisteriaturnd/src/mesh/peer_server.rs
+++ b/wisteriaturnd/src/mesh/peer_server.rs
@@ -25,10 +25,10 @@
 use crate::metrics::TrafficKind;
 use crate::node::{NodeHandle, NodeStage};
 
-/// Largest number of open connections. Further ones are dropped.
+/// Maximum number of open connections. Further ones are dropped.
 const MAX_CONNECTIONS: usize = 512;
 
-/// Largest number of joins and snapshots that are answered concurrently. When
+/// Maximum number of joins and snapshots that are answered concurrently. When
 /// many nodes restart at once, the others are told that this node is busy, so
 /// that each transfer ends soon.
 const MAX_CONCURRENT_TRANSFERS: usize = 4;
@@ -36,8 +36,7 @@
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time limit for the answer of a member that is asked whether it holds a
-/// version.
+/// Timeout for the answer of a member that is asked whether it holds a version.
 const HOLDER_PING_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Accepts connections to the peer port for as long as the node runs.
