--- a/wisteriaturnd/src/admin/change.rs
+++ b/wisteriaturnd/src/admin/change.rs
@@ -207,7 +207,7 @@
 ///
 /// # Errors
 ///
-/// Returns an [`ApplyError`], which tells whether the change may still take
+/// Returns an [`ApplyError`], which states whether the change may still take
 /// effect.
 pub async fn apply(node: &NodeHandle, change: &Change) -> Result<ChangeReport, ApplyError> {
     if node.documents.is_some() {
--- a/wisteriaturnd/src/admin/port.rs
+++ b/wisteriaturnd/src/admin/port.rs
@@ -36,7 +36,7 @@
 /// How long a client may take to send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts admin connections until the task is aborted.
+/// Accepts admin connections for as long as the node runs.
 pub async fn accept_task(node: NodeHandle, listener: TcpListener) {
     let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
--- a/wisteriaturnd/src/admin/view.rs
+++ b/wisteriaturnd/src/admin/view.rs
@@ -166,8 +166,8 @@
         .map(|(service, weight)| {
             let name = &service.spec.name;
             let targets = view.targets(name);
-            // Works on a copy, so that the query does not change the reach that
-            // real calls use.
+            // Works on a copy, because `choose_target` updates the maximum distance,
+            // which real calls use.
             let mut load = lock(&node.load.service(name)).clone();
             let choice = choose_target(
                 &node.location,
--- a/wisteriaturnd/src/lib.rs
+++ b/wisteriaturnd/src/lib.rs
@@ -2,10 +2,10 @@
 //! `wisteriaturn`.
 //!
 //! One process runs next to each target. It accepts requests of callers
-//! (ingress), admits calls to its target (gate), tracks the other nodes (member),
-//! reads the log on behalf of its data centre if it is a relay, and serves the
-//! resource API (admin). Every connection has its own task, written as sequential
-//! code.
+//! ([`ingress`]), admits calls to its target ([`gate`]), tracks the other nodes
+//! ([`mesh`]), reads the log on behalf of its data centre if it is a relay
+//! ([`control`]), and serves the resource API ([`admin`]). Every connection has its
+//! own task, written as sequential code.
 //!
 //! See [docs/DESIGN.md](../../docs/DESIGN.md) and
 //! [docs/OPERATIONS.md](../../docs/OPERATIONS.md).
--- a/wisteriaturnd/src/node.rs
+++ b/wisteriaturnd/src/node.rs
@@ -136,7 +136,7 @@
     /// Wakes the task that rebuilds the view when members change.
     pub members_changed: Notify,
     /// Whether the node has ever been ready. Before that it may have no
-    /// configuration, so it must not refuse a call for want of a route.
+    /// configuration, so it refuses calls as `not-ready` and not as `no-route`.
     pub was_ready: AtomicBool,
     /// Whether an anti-entropy exchange of member records is in progress.
     pub is_anti_entropy_running: AtomicBool,
