--- a/tests/integration/process_path.rs
+++ b/tests/integration/process_path.rs
@@ -69,7 +69,7 @@
     };
     assert_eq!(call("served-1", "/portal").await?.status, 200);
     assert_eq!(call("lost-1", "/nowhere").await?.status, 404);
-    // The result of each request is found by its request ID alone.
+    // The result of each request is found by its request id alone.
     let cases = [
         (
             "served-1",
--- a/tests/integration/process_stop.rs
+++ b/tests/integration/process_stop.rs
@@ -356,8 +356,8 @@
     Ok(())
 }
 
-/// Known red, see KNOWN-RED.txt: a node forgets the departure of a target when
-/// its process ends.
+/// Known red, see KNOWN-RED.txt: when the process of a node ends, the node forgets
+/// which targets have left.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_node_refuses_late_words_of_a_target_that_left() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
--- a/wisteriaturn-cli/src/change_file.rs
+++ b/wisteriaturn-cli/src/change_file.rs
@@ -1,4 +1,4 @@
-//! Reading of a change from a TOML or JSON file.
+//! Reads a change from a TOML or JSON file.
 //!
 //! A TOML file has an array of tables for each kind of resource, `[[service]]`,
 //! `[[route]]` and `[[policy]]`; the key `expect` of a table is the revision
--- a/wisteriaturn-cli/src/commands.rs
+++ b/wisteriaturn-cli/src/commands.rs
@@ -46,13 +46,13 @@
             get_and_print(client, format, &format!("/v1/changes/{id}")).await
         }
         CliCommand::Why(options) => {
-            let (request, files) = options
+            let (request_id, files) = options
                 .words
                 .split_first()
                 .filter(|(_, files)| !files.is_empty())
                 .ok_or_else(|| missing_argument("request id and at least one log file"))?;
             let files: Vec<PathBuf> = files.iter().map(PathBuf::from).collect();
-            print_request_lines(request, &files)
+            print_request_lines(request_id, &files)
         }
         CliCommand::Check(options) => check(client, format, options.file.as_deref()).await,
     }
--- a/wisteriaturn-cli/src/print.rs
+++ b/wisteriaturn-cli/src/print.rs
@@ -1,4 +1,4 @@
-//! Printing of responses as text or JSON.
+//! Prints responses as text or JSON.
 
 use serde_json::Value;
 
--- a/wisteriaturn-cli/src/why.rs
+++ b/wisteriaturn-cli/src/why.rs
@@ -1,8 +1,8 @@
-//! The `why` command: collects the log lines of all nodes about one request, in
-//! order of time.
+//! The `why` command: collects the log lines of all nodes about one request, sorted
+//! by time.
 //!
 //! Every log line about a request contains the request id that its caller chose.
-//! Its path through the mesh can therefore be reconstructed from the logs of the
+//! The path of a request through the mesh can therefore be reconstructed from the logs of the
 //! nodes that it passed through, without an index.
 
 use std::io::BufRead;
@@ -17,14 +17,14 @@
 const TIMESTAMP_PREFIX: &str = "timestamp=";
 
 /// Prints the log lines about a request, sorted by timestamp.
-pub(crate) fn print_request_lines(request: &str, files: &[PathBuf]) -> Result<(), CliError> {
+pub(crate) fn print_request_lines(request_id: &str, files: &[PathBuf]) -> Result<(), CliError> {
     let mut found = Vec::new();
     for file in files {
-        find_lines(request, file, &mut found)?;
+        find_lines(request_id, file, &mut found)?;
     }
     if found.is_empty() {
         let reason = format!(
-            "no log line about request {request:?} in {} file(s)",
+            "no log line about request {request_id:?} in {} file(s)",
             files.len()
         );
         return Err(CliError::Refused(reason));
@@ -39,7 +39,7 @@
 /// Appends the lines about a request to `found`, each with its timestamp and the
 /// name of its file.
 fn find_lines(
-    request: &str,
+    request_id: &str,
     file: &Path,
     found: &mut Vec<(String, String, String)>,
 ) -> Result<(), CliError> {
@@ -50,7 +50,7 @@
         let line = line.map_err(unreadable)?;
         let is_match = line
             .split(' ')
-            .any(|field| field.strip_prefix(REQUEST_PREFIX) == Some(request));
+            .any(|field| field.strip_prefix(REQUEST_PREFIX) == Some(request_id));
         if is_match {
             let timestamp = line
                 .split(' ')
