--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -23,7 +23,7 @@
 use crate::ids::{BootId, CallId, KeyHash, Offset};
 
 /// Format version, the first byte of a claim record.
-pub const CLAIM_FORMAT_VERSION: u8 = 1;
+pub const CLAIM_FORMAT: u8 = 1;
 
 /// Number of log streams among which keys are distributed.
 pub const CLAIM_STREAM_COUNT: u32 = 4;
@@ -98,7 +98,7 @@
 impl ClaimBatch {
     /// Encodes the batch as a log record.
     pub fn encode(&self) -> Result<Bytes, CodecError> {
-        let mut record = vec![CLAIM_FORMAT_VERSION];
+        let mut record = vec![CLAIM_FORMAT];
         record.extend(postcard::to_stdvec(self).map_err(|_| CodecError::Malformed)?);
         Ok(Bytes::from(record))
     }
@@ -109,7 +109,7 @@
 
     fn try_from(record: &[u8]) -> Result<Self, CodecError> {
         match record.split_first() {
-            Some((&CLAIM_FORMAT_VERSION, body)) => match postcard::take_from_bytes(body) {
+            Some((&CLAIM_FORMAT, body)) => match postcard::take_from_bytes(body) {
                 Ok((batch, [])) => Ok(batch),
                 Ok(_) | Err(_) => Err(CodecError::Malformed),
             },
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -73,7 +73,7 @@
     /// Time after which the answer is useless.
     pub deadline: Instant,
     /// Expected time for which the call holds the slot.
-    pub expected_run: Duration,
+    pub expected_run_time: Duration,
     /// Longest wait that is still better than trying another target, as sent in
     /// `wisteriaturn-patience-ms`.
     pub max_wait: Duration,
@@ -83,13 +83,14 @@
     /// Returns `true` if a call that starts at `start` will probably meet its soft
     /// deadline.
     fn is_in_time(&self, start: Instant) -> bool {
-        start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.soft_deadline
+        start + self.expected_run_time.mul_f64(LIKELY_RUN_FACTOR) <= self.soft_deadline
     }
 
     /// Returns `true` if a call that starts at `start` may finish before its
     /// deadline.
     fn can_finish(&self, start: Instant) -> bool {
-        start < self.deadline && start + self.expected_run.mul_f64(MIN_RUN_FACTOR) <= self.deadline
+        start < self.deadline
+            && start + self.expected_run_time.mul_f64(MIN_RUN_FACTOR) <= self.deadline
     }
 }
 
@@ -109,7 +110,7 @@
     is_draining: bool,
     next_sequence: u64,
     waiting: BTreeMap<QueueKey, WaitingCall>,
-    mean_run: Duration,
+    mean_run_time: Duration,
 }
 
 /// Admits calls to a target. Clones are cheap and share the slots and the queue.
@@ -136,7 +137,7 @@
     /// Number of waiting calls.
     pub waiting: usize,
     /// Moving average of the time for which calls hold a slot.
-    pub mean_run: Duration,
+    pub mean_run_time: Duration,
 }
 
 impl GateLoad {
@@ -145,10 +146,10 @@
         if self.busy < self.slots && self.waiting == 0 {
             return Duration::ZERO;
         }
-        // With all slots in use, one call finishes every `mean_run / slots`.
+        // With all slots in use, one call finishes every `mean_run_time / slots`.
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
         let ahead = u32::try_from(self.waiting + 1).unwrap_or(u32::MAX);
-        self.mean_run / slots * ahead
+        self.mean_run_time / slots * ahead
     }
 }
 
@@ -162,7 +163,7 @@
                 is_draining: false,
                 next_sequence: 0,
                 waiting: BTreeMap::new(),
-                mean_run: Duration::ZERO,
+                mean_run_time: Duration::ZERO,
             })),
             clock,
         }
@@ -200,7 +201,7 @@
             slots: state.slots,
             busy: state.busy,
             waiting: state.waiting.len(),
-            mean_run: state.mean_run,
+            mean_run_time: state.mean_run_time,
         }
     }
 
@@ -219,7 +220,7 @@
             rank: QueueRank::new(class, CallPriority::default()),
             soft_deadline: deadline,
             deadline,
-            expected_run: Duration::ZERO,
+            expected_run_time: Duration::ZERO,
             max_wait: Duration::MAX,
         };
         self.acquire_for(request).await
@@ -330,10 +331,10 @@
     /// Returns the expected wait of a call with `ahead` calls in front of it in
     /// the queue.
     fn expected_wait(&self, ahead: usize) -> Duration {
-        // With all slots in use, one call finishes every `mean_run / slots`.
+        // With all slots in use, one call finishes every `mean_run_time / slots`.
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
         let ahead = u32::try_from(ahead + 1).unwrap_or(u32::MAX);
-        self.mean_run / slots * ahead
+        self.mean_run_time / slots * ahead
     }
 
     fn can_queue_late(&self, now: Instant) -> bool {
@@ -403,10 +404,10 @@
         {
             let mut state = lock(&self.gate.state);
             state.busy -= 1;
-            state.mean_run = if state.mean_run.is_zero() {
+            state.mean_run_time = if state.mean_run_time.is_zero() {
                 run
             } else {
-                (state.mean_run * (MEAN_RUN_DIVISOR - 1) + run) / MEAN_RUN_DIVISOR
+                (state.mean_run_time * (MEAN_RUN_DIVISOR - 1) + run) / MEAN_RUN_DIVISOR
             };
         }
         self.gate.assign_free_slots();
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -307,7 +307,7 @@
             rank: QueueRank::new(CallClass::Interactive, CallPriority(0)),
             soft_deadline: simulated.arrived_at + self.pattern.target_latency,
             deadline: simulated.arrived_at + self.pattern.deadline,
-            expected_run: self.pattern.work,
+            expected_run_time: self.pattern.work,
             max_wait: simulated.max_wait,
         };
         let gate = self.gates[simulated.target].clone();
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -49,7 +49,7 @@
         rank: QueueRank::new(CallClass::Interactive, CallPriority(priority)),
         soft_deadline: clock.now() + ms(soft_deadline),
         deadline: clock.now() + ms(deadline),
-        expected_run: ms(100),
+        expected_run_time: ms(100),
     }
 }
 
--- a/wisteriaturnd/src/gate/admit.rs
+++ b/wisteriaturnd/src/gate/admit.rs
@@ -86,7 +86,7 @@
         .get(&call.service)
         .ok_or(RefusalReason::NoTarget)?;
     let until = call.deadline.at();
-    let run_time = expected_run(node, call, &target);
+    let run_time = expected_run_time(node, call, &target);
     let closing_time = *lock(&node.gate_closes_at);
     if closing_time.is_some_and(|closing| now + run_time.mul_f64(LIKELY_RUN_FACTOR) > closing) {
         return Err(RefusalReason::Draining);
@@ -95,7 +95,7 @@
         rank: QueueRank::new(call.class, call.priority),
         soft_deadline: call.soft_deadline.at(),
         deadline: until,
-        expected_run: run_time,
+        expected_run_time: run_time,
         max_wait: call.max_wait,
     };
     let acquired = timeout_at(until.into(), target.gate.acquire_for(slot_request)).await;
@@ -115,12 +115,15 @@
 
 /// Returns the time for which a call is expected to hold its slot: the average
 /// of its route or, if the route has no samples yet, the average of the target.
-fn expected_run(node: &NodeHandle, call: &GateCall, target: &LocalTarget) -> Duration {
+fn expected_run_time(node: &NodeHandle, call: &GateCall, target: &LocalTarget) -> Duration {
     let route_average = call
         .route
         .as_ref()
         .and_then(|route| node.run_estimates.measured(route));
-    route_average.map_or_else(|| target.gate.load().mean_run, |average| average.run_time)
+    route_average.map_or_else(
+        || target.gate.load().mean_run_time,
+        |average| average.run_time,
+    )
 }
 
 /// Adds the time for which a call held its slot to the average of its route.
