--- a/src/config/view.rs
+++ b/src/config/view.rs
@@ -170,8 +170,8 @@
             .find(|route| matches_path(&route.spec, path))
     }
 
-    /// Returns a view with the same routes and services at a later version, which
-    /// a rejected record leads to.
+    /// Returns this view at a later version. A rejected record changes only the
+    /// version and the hash.
     pub fn with_version(&self, version: ConfigVersion, chain: ChainHash) -> Self {
         Self {
             version,
--- a/src/gate/announce.rs
+++ b/src/gate/announce.rs
@@ -193,7 +193,8 @@
     }
 
     /// Removes the instance with the earliest incarnation if adding `instance`
-    /// would exceed the limit. Clears the addresses if they have reached it too.
+    /// would exceed [`MAX_TRACKED_INSTANCES`]. If there are as many addresses,
+    /// removes all of them.
     fn evict_oldest(&mut self, instance: &InstanceId) {
         if self.instances.len() < MAX_TRACKED_INSTANCES || self.instances.contains_key(instance) {
             return;
--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -22,7 +22,7 @@
 use crate::error::CodecError;
 use crate::ids::{BootId, CallId, KeyHash, Offset};
 
-/// Format version, the first byte of a claim record.
+/// Format number in the first byte of a claim record.
 pub const CLAIM_FORMAT: u8 = 1;
 
 /// Number of log streams among which keys are distributed.
--- a/src/gate/ledger.rs
+++ b/src/gate/ledger.rs
@@ -1,7 +1,7 @@
 //! Records the state and the result of the calls that a gate has received.
 //!
-//! A node whose connection to a gate breaks during a call can query the gate
-//! for the call's result. If the call has not started, the query revokes it:
+//! A node whose connection to a gate breaks during a call can send the gate an
+//! inquiry about the call. If the call has not started, the inquiry revokes it:
 //! the gate will never start it, so the node can safely report `not-run`. If
 //! the call is running or has finished, the node receives its result. A broken
 //! connection between two nodes therefore loses no call.
@@ -66,7 +66,7 @@
     Finished(Arc<CallResult>),
 }
 
-/// The status of a call, as returned to a node that queries it.
+/// The status of a call, as reported to a node that inquires about it.
 #[derive(Debug)]
 pub enum CallStatus {
     /// The call has not started and never will.
@@ -182,14 +182,14 @@
 }
 
 impl LedgerState {
-    /// Removes the calls that have expired and, while the ledger is at least
-    /// half full, also results that have not expired yet. Revocations always
-    /// stay until they expire.
+    /// Removes expired calls from the front of the expiry queue and, while the
+    /// ledger is at least half full, also results that have not expired yet.
+    /// Stops at a revocation that has not expired.
     fn expire(&mut self, now: Instant) {
         while let Some((expires, call)) = self.expiry.front().copied() {
             // Revocations are retained for longer than answers, so the queue is
-            // not strictly ordered by expiry. An entry behind one that expires
-            // later is only retained a little longer.
+            // not strictly ordered by expiry. An answer behind a revocation is
+            // retained until the revocation expires.
             if expires > now && self.calls.len() < MAX_LEDGER_CALLS / 2 {
                 return;
             }
@@ -229,7 +229,7 @@
         Ok(())
     }
 
-    /// Finishes the call and stores its result for nodes that query it.
+    /// Finishes the call and stores its result for nodes that inquire about it.
     pub fn finish(mut self, result: CallResult) {
         self.finish_with(result);
     }
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -45,8 +45,8 @@
 pub const LIKELY_RUN_FACTOR: f64 = 1.3;
 
 /// Divisor of the moving average of run times: a new sample is weighted with
-/// 1 / `MEAN_RUN_DIVISOR`.
-const MEAN_RUN_DIVISOR: u32 = 8;
+/// 1 / `MEAN_RUN_TIME_DIVISOR`.
+const MEAN_RUN_TIME_DIVISOR: u32 = 8;
 
 /// The rank of a call in the queue: by class, then by priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 pub struct SlotPermit {
     gate: SlotGate,
-    started: Instant,
+    started_at: Instant,
 }
 
 /// The load of a gate.
@@ -273,10 +273,10 @@
         Ok(Admission::Waiting(receiver))
     }
 
-    fn permit(&self, started: Instant) -> SlotPermit {
+    fn permit(&self, started_at: Instant) -> SlotPermit {
         SlotPermit {
             gate: self.clone(),
-            started,
+            started_at,
         }
     }
 
@@ -346,9 +346,9 @@
         (late as f64) < self.slots as f64 * MAX_LATE_PER_SLOT
     }
 
-    /// Removes and returns the late calls that exceed the limit, first in the
-    /// queue first. These have the least time left within their rank, and would
-    /// wait in vain while calls that can be in time keep arriving.
+    /// Removes and returns the late calls that exceed the limit, starting at the
+    /// front of the queue. These have the least time left within their rank, and
+    /// would wait in vain while calls that can be in time keep arriving.
     fn take_surplus_late(&mut self, now: Instant) -> Vec<WaitingCall> {
         let late: Vec<QueueKey> = self
             .waiting
@@ -400,14 +400,15 @@
 
 impl Drop for SlotPermit {
     fn drop(&mut self) {
-        let run = self.gate.clock.now().duration_since(self.started);
+        let run_time = self.gate.clock.now().duration_since(self.started_at);
         {
             let mut state = lock(&self.gate.state);
             state.busy -= 1;
             state.mean_run_time = if state.mean_run_time.is_zero() {
-                run
+                run_time
             } else {
-                (state.mean_run_time * (MEAN_RUN_DIVISOR - 1) + run) / MEAN_RUN_DIVISOR
+                (state.mean_run_time * (MEAN_RUN_TIME_DIVISOR - 1) + run_time)
+                    / MEAN_RUN_TIME_DIVISOR
             };
         }
         self.gate.assign_free_slots();
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -30,15 +30,16 @@
     Revision(u64);
     /// The position of a record in a stream of the log, starting at 0.
     Offset(u64);
-    /// Orders the runs of the node at one address: the start time in
-    /// milliseconds since the Unix epoch, raised above any incarnation that
-    /// peers remember for the address.
+    /// Orders the runs of the node at one address, or of one target instance:
+    /// the start time in milliseconds since the Unix epoch. A node raises it
+    /// above any incarnation that peers remember for its address.
     Incarnation(u64);
     /// Identifies one run of a node's process; chosen at random. A gate
-    /// remembers calls only until its process ends.
+    /// remembers calls only until its process ends, so the id shows whether it
+    /// can still know a call.
     BootId(u64);
-    /// Orders the records that a node publishes about itself within one run of
-    /// its process, or the announcements of a target within one run of that.
+    /// Orders the records that a node publishes about itself, or the
+    /// announcements of a target, within one incarnation.
     Sequence(u64);
     /// The number of calls that a target can run concurrently.
     SlotCount(u16);
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,9 +1,9 @@
 //! Runtime checks of invariants: violations are counted and, in strict mode,
 //! abort the process.
 //!
-//! Each invariant is checked where the facts are known. A plain `assert!` would
-//! take a whole node down for its callers; a log line alone would be
-//! overlooked. So violations are counted in a metric that operators can alert
+//! Each invariant is checked by the code that has to maintain it. A plain
+//! `assert!` would abort a whole node and all its calls; a log line alone would
+//! be overlooked. So violations are counted in a metric that operators can alert
 //! on, and tests run in strict mode. See [docs/PROOFS.md](../docs/PROOFS.md).
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! The decision logic of wisteriaturn, a configuration distribution system for
-//! a service mesh.
+//! The decision logic of wisteriaturn, a service mesh that distributes its own
+//! configuration.
 //!
 //! Every node of the mesh runs the same code: it folds configuration changes
 //! from an append-only log, keeps a table of the other nodes, selects a target
--- a/src/log_port.rs
+++ b/src/log_port.rs
@@ -60,7 +60,7 @@
 /// Estimated size of the HTTP head of a request or a response.
 const ESTIMATED_HEAD_BYTES: u64 = 160;
 
-/// A handle to the log that is cheap to clone.
+/// A handle to the log. Clones are cheap and share the traffic count.
 #[derive(Clone)]
 pub struct LogPort {
     append: Arc<AppendFn>,
--- a/src/macros.rs
+++ b/src/macros.rs
@@ -3,7 +3,7 @@
 //! A derive macro would need a crate of its own, which costs extra build time
 //! for what a few `macro_rules` do.
 
-/// Adds the derives of a plain value that is sent between nodes to each item.
+/// Derives the traits of a plain value that is sent between nodes for each item.
 macro_rules! record {
     ($($item:item)*) => {
         $(
@@ -13,7 +13,7 @@
     };
 }
 
-/// Defines newtypes of numbers with `Display` and `FromStr`.
+/// Defines newtypes of numbers that are displayed and parsed as the number.
 macro_rules! number_type {
     ($($(#[$meta:meta])* $name:ident($inner:ty);)*) => {
         $(
--- a/src/member/directory.rs
+++ b/src/member/directory.rs
@@ -29,7 +29,7 @@
 }
 
 impl DirectoryPort {
-    /// Returns a port that calls the given functions to publish, list and
+    /// Returns a handle that calls the given functions to publish, list and
     /// remove entries.
     pub fn new<P, L, R>(publish: P, list: L, remove: R) -> Self
     where
--- a/src/member/isolation.rs
+++ b/src/member/isolation.rs
@@ -14,7 +14,7 @@
 /// that long.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Smallest number of other members whose silence is conclusive: if there are
+/// Minimum number of other members whose silence is conclusive: if there are
 /// fewer, all of them may be gone.
 pub const MIN_OTHER_MEMBERS: usize = 3;
 
@@ -36,7 +36,7 @@
         self.last_heard = self.last_heard.max(now);
     }
 
-    /// Returns `true` if no other node was heard for at least
+    /// Returns `true` if no other node has been heard for at least
     /// [`ISOLATION_TIMEOUT`].
     pub fn is_silent(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.last_heard) >= ISOLATION_TIMEOUT
--- a/src/member/reader.rs
+++ b/src/member/reader.rs
@@ -14,7 +14,7 @@
 use crate::member::role::{choose_members, choose_members_by_link};
 use crate::member::table::MemberTable;
 
-/// Largest average number of members for each reader. A reader sends 2.5
+/// Maximum average number of members for each reader. A reader sends 2.5
 /// heartbeats of about 70 bytes a second to each of them, which is 4 KB/s for a
 /// group of this size.
 pub const MEMBERS_PER_READER: usize = 24;
--- a/src/member/record.rs
+++ b/src/member/record.rs
@@ -8,11 +8,12 @@
     SlotCount,
 };
 
-/// Largest number of targets that one node announces.
+/// Maximum number of targets that one node announces.
 pub const MAX_TARGETS: usize = 8;
 
-/// Largest number of target departures in a record. Late announcements are only
-/// seconds late, and a VM seldom replaces its one target.
+/// Maximum number of target departures in a record. A few are enough: an
+/// announcement is late by seconds only, and a VM seldom replaces its one
+/// target.
 pub const MAX_DEPARTURES: usize = 4;
 
 record! {
--- a/src/member/role.rs
+++ b/src/member/role.rs
@@ -28,9 +28,9 @@
         .collect()
 }
 
-/// Divisor of the highest link rate in a data centre: a member with at least
-/// that share of it counts as having a fast link. VMs of one kind differ
-/// little, and kinds differ by a factor of ten.
+/// A link counts as fast if its rate is at least the highest rate among the
+/// candidates divided by this. VMs of one kind differ little, and kinds differ
+/// by a factor of ten.
 const FAST_LINK_DIVISOR: u32 = 2;
 
 /// Returns `count` members by their hash weights for a role that sends a lot,
@@ -53,8 +53,9 @@
     chosen
 }
 
-/// Returns the relays of a data centre. A suspect is skipped immediately, well
-/// before it is declared dead, because an extra relay is harmless.
+/// Returns the relays of a data centre, which read the log and exchange
+/// rumors with other data centres on its behalf. A suspect is skipped immediately, well before it is declared dead,
+/// because an extra relay is harmless.
 pub fn relays(table: &MemberTable, data_centre: &DataCentre) -> Vec<NodeAddress> {
     let members: Vec<_> = table
         .live_in(data_centre)
@@ -73,7 +74,7 @@
 }
 
 /// Returns the keeper of a claim stream: a member of `home`, the data centre
-/// that hosts the log, or any member if `home` has none.
+/// that hosts the log, or any live member if `home` is unknown or has none.
 pub fn keeper(table: &MemberTable, stream: u32, home: Option<&DataCentre>) -> Option<NodeAddress> {
     let role = format!("keeper-{stream}");
     let in_home = home.map(|home| {
--- a/src/member/rumor.rs
+++ b/src/member/rumor.rs
@@ -10,7 +10,7 @@
 use crate::ids::{Fingerprint, NodeAddress};
 use crate::member::record::MemberRecord;
 
-/// Largest number of queued rumors.
+/// Maximum number of queued rumors.
 pub const MAX_QUEUED_RUMORS: usize = 512;
 
 record! {
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -11,7 +11,7 @@
 use crate::ids::{ConfigVersion, DataCentre, NodeAddress, Sequence};
 use crate::member::record::{MemberRecord, MemberState, TargetDeparture};
 
-/// Largest number of members in the table.
+/// Maximum number of members in the table.
 pub const MAX_MEMBERS: usize = 8192;
 
 /// How long the tombstone of a dead or left member is kept. A late rumor that
@@ -53,7 +53,7 @@
 /// All known members, including this node.
 #[derive(Debug)]
 pub struct MemberTable {
-    own: NodeAddress,
+    own_address: NodeAddress,
     members: BTreeMap<NodeAddress, MemberEntry>,
     digests: BTreeMap<DataCentre, u64>,
     generation: u64,
@@ -63,7 +63,7 @@
     /// Returns a table that contains only this node.
     pub fn new(own: MemberRecord, now: Instant) -> Self {
         let mut table = Self {
-            own: own.address,
+            own_address: own.address,
             members: BTreeMap::new(),
             digests: BTreeMap::new(),
             generation: 0,
@@ -74,7 +74,7 @@
 
     /// Returns the record of this node.
     pub fn own(&self) -> &MemberRecord {
-        &self.members[&self.own].record
+        &self.members[&self.own_address].record
     }
 
     /// Returns a number that increases whenever a record is stored.
@@ -128,7 +128,7 @@
 
     /// Merges a record of a member that another node has sent.
     pub fn merge(&mut self, record: MemberRecord, now: Instant) -> MergeOutcome {
-        if record.address == self.own {
+        if record.address == self.own_address {
             return self.merge_own(&record, now);
         }
         match self.members.get(&record.address) {
@@ -159,7 +159,7 @@
         now: Instant,
     ) -> Option<MemberRecord> {
         let entry = self.members.get(&address)?;
-        if address == self.own || entry.record.state >= state {
+        if address == self.own_address || entry.record.state >= state {
             return None;
         }
         let mut record = entry.record.clone();
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -19,16 +19,16 @@
 use crate::member::record::{MemberRecord, TargetDeparture};
 use crate::member::rumor::Rumor;
 
-/// Largest datagram in bytes, below the smallest common path MTU.
+/// Maximum size of a datagram in bytes, below the smallest common path MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// Largest encoded size in bytes of the rumors in one probe.
+/// Maximum encoded size of the rumors in one probe, in bytes.
 pub const MAX_RUMOR_BYTES: usize = 700;
 
-/// Largest encoded request or answer in bytes.
+/// Maximum encoded size of a request or an answer, in bytes.
 pub const MAX_FRAME_BYTES: usize = 20 * 1024 * 1024;
 
-/// Largest total size in bytes of the configuration records in one answer.
+/// Maximum total size of the configuration records in one answer, in bytes.
 pub const MAX_RECORDS_BYTES: usize = 1024 * 1024;
 
 record! {
@@ -37,8 +37,8 @@
     pub struct NodeStatus {
         /// Version of the view that is in force.
         pub version: ConfigVersion,
-        /// First bytes of the hash chain over the configuration records that
-        /// were applied.
+        /// First bytes of the hash of the records or the document behind the
+        /// version.
         pub chain: u64,
         /// Digest of the member table.
         pub digest: u64,
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -19,7 +19,8 @@
 /// failures.
 pub const MAX_TOKENS: f64 = 100.0;
 
-/// Time for which tokens that are added over time accumulate.
+/// Time over which the tokens that are added per unit of time can accumulate.
+/// Beyond that, only first attempts add tokens.
 pub const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 /// A limit on the retries that all nodes together send to one service.
@@ -84,7 +85,7 @@
 struct BudgetState {
     tokens: f64,
     rate: TokenRate,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
 /// The budget of one node for retries to one service.
@@ -99,12 +100,12 @@
     /// Returns a budget without a shared limit. It starts with the tokens that are
     /// added over time in [`BUDGET_WINDOW`].
     pub fn new(clock: SharedClock) -> Self {
-        let refilled = clock.now();
+        let refilled_at = clock.now();
         Self {
             state: Mutex::new(BudgetState {
                 tokens: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
                 rate: TokenRate::unshared(),
-                refilled,
+                refilled_at,
             }),
             limit: None,
             clock,
@@ -118,7 +119,7 @@
             state: Mutex::new(BudgetState {
                 tokens: rate.refill_level,
                 rate,
-                refilled: clock.now(),
+                refilled_at: clock.now(),
             }),
             limit: Some(limit),
             clock,
@@ -164,8 +165,8 @@
     fn refill(&self) -> std::sync::MutexGuard<'_, BudgetState> {
         let now = self.clock.now();
         let mut state = lock(&self.state);
-        let elapsed = now.duration_since(state.refilled).as_secs_f64();
-        state.refilled = now;
+        let elapsed = now.duration_since(state.refilled_at).as_secs_f64();
+        state.refilled_at = now;
         let rate = state.rate;
         if state.tokens < rate.refill_level {
             let earned = elapsed * rate.refill_per_second;
--- a/src/route/choose.rs
+++ b/src/route/choose.rs
@@ -1,4 +1,4 @@
-//! Locality-aware target selection with two random choices.
+//! Locality-aware target selection by the power of two random choices.
 //!
 //! Nearer targets are preferred because links between regions are billed and
 //! slow. Among the eligible targets, two are picked at random and the less
@@ -187,7 +187,7 @@
 
 /// Raises the maximum distance by one level when the targets within it are
 /// loaded to the policy's upper threshold (`spill_enter`), and lowers it by one
-/// when the targets of the next nearer level are loaded below the lower
+/// when the targets up to the next nearer level are loaded below the lower
 /// threshold (`spill_leave`).
 fn update_max_distance(
     candidates: &[TargetCandidate],
--- a/src/route/cost.rs
+++ b/src/route/cost.rs
@@ -1,6 +1,6 @@
 //! Cost-based target selection, for routes that set a target latency.
 //!
-//! It is made for a load pattern in which targets differ in speed by a factor
+//! It is designed for a load pattern in which targets differ in speed by a factor
 //! of three, links between data centres are billed by volume, and the load of
 //! one data centre rises above what its own targets can serve in time. Choosing
 //! the least loaded target everywhere would send most bytes over a billed link;
@@ -73,10 +73,10 @@
 /// targets that are both in time, the faster one is chosen.
 const LATENCY_COST: f64 = 0.03;
 
-/// Bisection steps to find the longest useful wait.
-const MAX_WAIT_STEPS: u32 = 6;
+/// Number of bisection steps to find the longest useful wait.
+const WAIT_BISECTION_STEPS: u32 = 6;
 
-/// Largest random cost, which breaks ties between equal targets. It is less
+/// Maximum random cost, which breaks ties between equal targets. It is less
 /// than the cost of half of a target's slots being in use; otherwise, calls
 /// would now and then leave a local target that has free slots.
 const MAX_NOISE_COST: f64 = 0.005;
@@ -228,7 +228,7 @@
     /// to within 1/64 of the time left until the deadline.
     fn longest_wait_within(&self, requirements: &CallRequirements, limit: f64) -> Duration {
         let (mut low, mut high) = (Duration::ZERO, requirements.deadline);
-        for _ in 0..MAX_WAIT_STEPS {
+        for _ in 0..WAIT_BISECTION_STEPS {
             let middle = (low + high) / 2;
             if self.cost_after_wait(requirements, middle) <= limit {
                 low = middle;
--- a/src/route/estimate.rs
+++ b/src/route/estimate.rs
@@ -1,9 +1,9 @@
 //! Estimates the size and the duration of the answers of each route.
 //!
 //! Links between regions are billed by volume and some links have little
-//! bandwidth, so the size of an answer decides how far away a call may go. No
-//! one announces it, so it is learned from the answers that pass through this
-//! node.
+//! bandwidth, so the size of an answer decides how far away a call may go. It
+//! is not known in advance, so it is learned from the answers that pass through
+//! this node.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -18,7 +18,7 @@
 /// Estimated size in bytes before the first answer: a small page.
 const DEFAULT_ANSWER_BYTES: f64 = 2048.0;
 
-/// Largest number of routes that are kept.
+/// Maximum number of routes with averages. A further route clears all of them.
 const MAX_ROUTES: usize = 4096;
 
 /// Estimated duration before the first answer.
--- a/src/route/load.rs
+++ b/src/route/load.rs
@@ -19,7 +19,7 @@
 /// How long a target that refused a call as full is not chosen.
 pub const FULL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Longest time for which a target is ejected.
+/// Maximum time for which a target is ejected.
 pub const MAX_EJECTION_TIME: Duration = Duration::from_secs(60);
 
 /// Weight of a new sample in the moving average of failures. With 0.25, three
@@ -50,7 +50,7 @@
     ejected_until: Option<Instant>,
     full_until: Option<Instant>,
     run_times: Vec<RouteRunTime>,
-    failure_average: FailureRate,
+    failure_rate: FailureRate,
 }
 
 /// The mean run time of one route, as reported by a gate.
@@ -66,15 +66,15 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct FailureRate {
     rate: f64,
-    updated: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl FailureRate {
     fn rate_at(self, now: Instant) -> f64 {
-        let Some(updated) = self.updated else {
+        let Some(updated_at) = self.updated_at else {
             return 0.0;
         };
-        let age = now.saturating_duration_since(updated).as_secs_f64();
+        let age = now.saturating_duration_since(updated_at).as_secs_f64();
         self.rate * 0.5_f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
@@ -82,7 +82,7 @@
         let decayed = self.rate_at(now);
         let sample = if is_failure { 1.0 } else { 0.0 };
         self.rate = decayed + (sample - decayed) * FAILURE_WEIGHT;
-        self.updated = Some(now);
+        self.updated_at = Some(now);
     }
 }
 
@@ -98,7 +98,7 @@
             ejected_until: None,
             full_until: None,
             run_times: Vec::new(),
-            failure_average: FailureRate::default(),
+            failure_rate: FailureRate::default(),
         }
     }
 
@@ -117,7 +117,7 @@
 
     /// Returns the recent failure rate, from 0 to 1.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        self.failure_average.rate_at(now)
+        self.failure_rate.rate_at(now)
     }
 
     /// Returns the estimated number of calls that the target is running or has
@@ -158,9 +158,10 @@
     /// target's health.
     Refused,
     /// The target or its gate was unreachable, or the connection broke during
-    /// the call.
+    /// the call. This counts towards an ejection.
     Failed,
-    /// The target answered with a failure or rejected the call.
+    /// The target answered with a failure or rejected the call. This raises the
+    /// failure rate but does not lead to an ejection.
     Faulty,
     /// The gate was unreachable and is ejected for the given time.
     Unreachable(Duration),
@@ -170,7 +171,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct ServiceLoad {
     targets: HashMap<NodeAddress, TargetLoad>,
-    /// Highest distance level to which calls currently go.
+    /// Maximum distance level to which calls currently go.
     pub max_distance: u8,
 }
 
@@ -259,9 +260,9 @@
     ) -> Option<Duration> {
         let load = self.get(target);
         match result {
-            AttemptResult::Answered => load.failure_average.record(false, now),
+            AttemptResult::Answered => load.failure_rate.record(false, now),
             AttemptResult::Failed | AttemptResult::Faulty | AttemptResult::Unreachable(_) => {
-                load.failure_average.record(true, now);
+                load.failure_rate.record(true, now);
             }
             AttemptResult::Full | AttemptResult::Refused => {}
         }
