--- a/tests/integration/document_rules.rs
+++ b/tests/integration/document_rules.rs
@@ -140,7 +140,7 @@
     for reader in &readers {
         let assigned = members_read_by(&table, &data_centre, *reader);
         // Rendezvous hashing assigns members unevenly: a reader may have up to
-        // half more than the target number.
+        // half more than `MEMBERS_PER_READER`.
         assert!(
             assigned.len() <= MEMBERS_PER_READER * 3 / 2,
             "{} members",
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_member_that_is_suspect_or_not_ready_is_no_reader() {
+fn a_member_that_is_suspect_or_not_ready_is_not_a_reader() {
     let data_centre: DataCentre = "r1-a".parse().expect("a name");
     let now = Instant::now();
     let mut table = MemberTable::new(member(1, false), now);
--- a/tests/integration/edge_rules.rs
+++ b/tests/integration/edge_rules.rs
@@ -84,9 +84,8 @@
     }
     let response = builder.body(()).expect("a valid response");
     let request_id = HeaderValue::from_static("a");
-    let standing =
-        AnswerKind::classify(&edge_with_signatures(), Some(&request_id), false, &response);
-    assert_eq!(standing, expected);
+    let kind = AnswerKind::classify(&edge_with_signatures(), Some(&request_id), false, &response);
+    assert_eq!(kind, expected);
 }
 
 #[yare::parameterized(
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -182,7 +182,7 @@
                     let index = usize::from(call);
                     if let CallStatus::NotRun(_) = ledger.revoke(CallId(call.into())) {
                         // The result of a call that ran is stored for as long
-                        // as a node may query it, which is longer than the
+                        // as a node may inquire about it, which is longer than the
                         // steps of this test take.
                         prop_assert_eq!(started[index], 0);
                         reported_not_run[index] = true;
@@ -191,8 +191,8 @@
                 LedgerStep::Wait(ms) => clock.advance(Duration::from_millis(ms.into())),
             }
         }
-        for rule in INVARIANTS {
-            prop_assert_eq!(violations(rule), 0);
+        for invariant in INVARIANTS {
+            prop_assert_eq!(violations(invariant), 0);
         }
     }
 }
@@ -297,24 +297,27 @@
 fn two_lost_targets_quarantine_a_request_until_it_expires() {
     let now = Instant::now();
     let mut table = SuspectTable::new();
-    let (bad, page) = (Fingerprint(1), Fingerprint(2));
-    assert!(table.record_target_loss(bad, address(1), 5, now));
+    let (crashing, page) = (Fingerprint(1), Fingerprint(2));
+    assert!(table.record_target_loss(crashing, address(1), 5, now));
     assert!(
-        !table.record_target_loss(bad, address(1), 5, now),
-        "the same loss is reported twice"
+        !table.record_target_loss(crashing, address(1), 5, now),
+        "the same loss, reported again"
     );
-    assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
+    assert_eq!(table.status(crashing, now), QuarantineStatus::Suspect);
     assert!(
-        table.record_target_loss(bad, address(1), 6, now),
+        table.record_target_loss(crashing, address(1), 6, now),
         "another loss of the same target"
     );
-    assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
-    table.record_target_loss(bad, address(2), 1, now);
+    assert_eq!(table.status(crashing, now), QuarantineStatus::Suspect);
+    table.record_target_loss(crashing, address(2), 1, now);
     let until = now + QUARANTINE_DURATION;
-    assert_eq!(table.status(bad, now), QuarantineStatus::Quarantined(until));
+    assert_eq!(
+        table.status(crashing, now),
+        QuarantineStatus::Quarantined(until)
+    );
     // A later success does not end the quarantine; only its expiry does.
-    assert!(!table.record_success(bad));
-    assert_eq!(table.status(bad, until), QuarantineStatus::Clean);
+    assert!(!table.record_success(crashing));
+    assert_eq!(table.status(crashing, until), QuarantineStatus::Clean);
 
     table.record_target_loss(page, address(1), 7, now);
     assert!(table.record_success(page), "a success clears a suspect");
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_replay.rs
@@ -4,9 +4,9 @@
 //!
 //! Every call takes the same path as in a node: `choose_cheapest_target` at an
 //! ingress that knows about each target only what its own calls reported, the
-//! trip to the target, `SlotGate` there, the run, and the trip back. A call is
-//! worth what it is worth to its caller: everything in time, a part of it late,
-//! nothing after the deadline.
+//! trip to the target, `SlotGate` there, the run, and the trip back. An answer
+//! has its full value up to the target latency, a part of it up to the deadline
+//! and none after that.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -52,8 +52,8 @@
     work: Duration,
     target_latency: Duration,
     deadline: Duration,
-    /// Whether calls carry the longest wait that is better than going
-    /// elsewhere.
+    /// Whether calls carry the longest wait that is better than trying another
+    /// target.
     has_wait_limit: bool,
 }
 
@@ -200,10 +200,10 @@
                 let target = self.calls[call].target;
                 let load = self.gates[target].load();
                 let now = self.clock.now();
-                let seen = &mut self.loads[self.calls[call].ingress];
+                let known_load = &mut self.loads[self.calls[call].ingress];
                 let node = self.targets[target].node;
-                seen.record_load(node, (load.busy + load.waiting) as u32, now);
-                seen.record_run_time(node, &route(), run, now);
+                known_load.record_load(node, (load.busy + load.waiting) as u32, now);
+                known_load.record_run_time(node, &route(), run, now);
                 self.schedule(self.trip(call), Step::ReceiveAnswer(call));
             }
             Step::ReceiveAnswer(call) => self.receive_answer(call),
@@ -237,14 +237,14 @@
     /// Chooses a target for a call, as an ingress does.
     fn choose_target(&mut self, call: usize) {
         let simulated = &self.calls[call];
-        let may_go_elsewhere =
+        let may_try_another_target =
             !simulated.crowded.is_empty() && simulated.crowded.len() < MAX_CROWDED_REFUSALS;
-        let excluded = if may_go_elsewhere {
+        let excluded = if may_try_another_target {
             [simulated.tried.clone(), simulated.crowded.clone()].concat()
         } else {
             simulated.tried.clone()
         };
-        let must_wait = !simulated.crowded.is_empty() && !may_go_elsewhere;
+        let must_wait = !simulated.crowded.is_empty() && !may_try_another_target;
         let (ingress, arrived_at) = (simulated.ingress, simulated.arrived_at);
         let data_centre = ingress / self.pattern.ingresses_per_data_centre;
         let location = NodeLocation {
@@ -427,7 +427,7 @@
     full_load = { 0.95 },
     overload = { 1.2 },
 )]
-fn a_limited_wait_serves_more_when_each_ingress_knows_little(load: f64) {
+fn a_wait_limit_raises_the_mean_value_when_each_ingress_makes_few_calls(load: f64) {
     let (with, without) = (
         mean_value_over_seeds(load, true),
         mean_value_over_seeds(load, false),
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -58,9 +58,9 @@
     request: SlotRequest,
 ) -> tokio::task::JoinHandle<Option<RefusalReason>> {
     let waiting = gate.load().waiting;
-    let other = gate.clone();
+    let shared_gate = gate.clone();
     let task = tokio::spawn(async move {
-        match other.acquire_for(request).await {
+        match shared_gate.acquire_for(request).await {
             // The permit is never released, so that the next call does not get
             // the slot.
             Ok(permit) => {
@@ -79,8 +79,8 @@
 #[tokio::test]
 async fn calls_that_can_be_in_time_start_before_late_ones() {
     let (gate, clock, permit) = busy_gate().await;
-    // To be in time, it would have to start within 20 ms, but the slot is
-    // expected to become free in 100 ms.
+    // A run is expected to take up to 130 ms, so the call would be late even if
+    // it started immediately.
     let mut late = slot_request(&clock, 0, 120, 5_000);
     let late_task = enqueue(&gate, late).await;
     let timely = enqueue(&gate, slot_request(&clock, 5, 900, 5_000)).await;
@@ -92,7 +92,7 @@
         "in time, despite its lower priority"
     );
     assert!(!late_task.is_finished(), "the late call keeps waiting");
-    // A second late call is refused: only one late call may wait per slot.
+    // A second late call is refused: with one slot, only one late call may wait.
     late.soft_deadline = clock.now();
     let second = gate.acquire_for(late).await;
     assert_eq!(second.err(), Some(RefusalReason::Saturated));
@@ -122,7 +122,7 @@
         waiting.push(enqueue(&gate, slot_request(&clock, 0, soft_deadline, 10_000)).await);
     }
     // The running call takes much longer than the mean run time. Now all three
-    // calls are late, and only one late call may wait per slot.
+    // calls are late, and with one slot, only one late call may wait.
     clock.advance(ms(600));
     drop(permit);
     let mut outcomes = Vec::new();
@@ -145,8 +145,8 @@
         let (gate, clock, _held) = busy_gate().await;
         // This call is already late, so there is no room for further late
         // calls.
-        let other = slot_request(&clock, 9, 0, 10_000);
-        let _late = enqueue(&gate, other).await;
+        let late = slot_request(&clock, 9, 0, 10_000);
+        let _late_task = enqueue(&gate, late).await;
         let call = enqueue(&gate, slot_request(&clock, 0, soft_deadline, 10_000)).await;
         assert_eq!(!call.is_finished(), is_likely, "{soft_deadline} ms");
     }
@@ -172,7 +172,7 @@
         slack: 60.0,
         window: Duration::from_secs(10),
     };
-    for (nodes, calls_each) in [(18_usize, 0_u32), (18, 20), (18, 400), (83, 5), (3, 1)] {
+    for (nodes, calls_per_node) in [(18_usize, 0_u32), (18, 20), (18, 400), (83, 5), (3, 1)] {
         let clock = ManualClock::new();
         let budgets: Vec<RetryBudget> = (0..nodes)
             .map(|_| RetryBudget::shared(Arc::clone(&clock) as SharedClock, limit, nodes))
@@ -181,7 +181,7 @@
         // One window in which every call fails and would be retried twice.
         for _ in 0..100 {
             for budget in &budgets {
-                for _ in 0..calls_each.div_ceil(100) {
+                for _ in 0..calls_per_node.div_ceil(100) {
                     budget.record_call(wisteriaturn::ids::Percent(0));
                     retries += u32::from(budget.try_take()) + u32::from(budget.try_take());
                 }
@@ -189,7 +189,7 @@
             }
             clock.advance(Duration::from_millis(100));
         }
-        let calls = calls_each.div_ceil(100) * 100 * nodes as u32;
+        let calls = calls_per_node.div_ceil(100) * 100 * nodes as u32;
         // Each node keeps at least two retries, even in a large mesh.
         let slack = limit.slack.max(2.0 * nodes as f64 + limit.slack * 0.5);
         let allowed = limit.ratio * f64::from(calls) + slack;
@@ -278,7 +278,7 @@
             data_centre: "r1-a".parse().expect("valid name"),
         };
         let route = route();
-        let call = PlacementRequest {
+        let request = PlacementRequest {
             route: &route,
             requirements: &requirements,
             tried: &[],
@@ -289,7 +289,7 @@
             &self.targets,
             &policy,
             &mut self.load,
-            call,
+            request,
             self.now,
             &mut self.rng,
         )
@@ -389,7 +389,7 @@
         assert_eq!(
             fixture.choose(90_000.0, 300),
             Some(3),
-            "100 ms on a thin link"
+            "the other link takes about 100 ms"
         );
     }
 }
--- a/tests/integration/member_table.rs
+++ b/tests/integration/member_table.rs
@@ -1,6 +1,6 @@
 //! Tests of membership: the order of rumors does not matter, a suspect can
-//! refute, and a cut link of the own node is not mistaken for the loss of many
-//! members.
+//! refute the suspicion, and a node whose own link is cut does not take the
+//! other members for lost.
 
 use std::time::{Duration, Instant};
 
@@ -151,8 +151,8 @@
         ConfigVersion(7)
     );
     assert_eq!(table.merge(alive(2), now), MergeOutcome::Unchanged);
-    let back = record(2, 2, 0, MemberState::Alive);
-    assert_eq!(table.merge(back, now), MergeOutcome::Applied);
+    let restarted = record(2, 2, 0, MemberState::Alive);
+    assert_eq!(table.merge(restarted, now), MergeOutcome::Applied);
     assert_eq!(
         table.get(address(2)).expect("a member").held_version,
         ConfigVersion(7)
--- a/tests/integration/route_rules.rs
+++ b/tests/integration/route_rules.rs
@@ -119,8 +119,8 @@
     let mut load = ServiceLoad::default();
     let now = Instant::now();
     let fail = |load: &mut ServiceLoad, target: &TargetEntry, now| {
-        let took = Duration::from_millis(1);
-        load.record_result(target, AttemptResult::Failed, took, &policy, 4, now)
+        let elapsed = Duration::from_millis(1);
+        load.record_result(target, AttemptResult::Failed, elapsed, &policy, 4, now)
     };
     for target in &targets {
         for _ in 0..4 {
@@ -223,27 +223,29 @@
 fn a_deadline_is_never_extended() {
     let clock = ManualClock::new();
     let shared: SharedClock = Arc::clone(&clock) as SharedClock;
-    let route = Duration::from_secs(2);
-    let remaining = |asked| CallDeadline::for_call(&shared, route, asked).remaining(clock.now());
-    assert_eq!(remaining(None), route);
-    assert_eq!(remaining(Some(Duration::from_secs(9))), route);
+    let route_timeout = Duration::from_secs(2);
+    let remaining = |requested| {
+        CallDeadline::for_call(&shared, route_timeout, requested).remaining(clock.now())
+    };
+    assert_eq!(remaining(None), route_timeout);
+    assert_eq!(remaining(Some(Duration::from_secs(9))), route_timeout);
     assert_eq!(
         remaining(Some(Duration::from_millis(5))),
         Duration::from_millis(5)
     );
-    let deadline = CallDeadline::for_call(&shared, route, None);
+    let deadline = CallDeadline::for_call(&shared, route_timeout, None);
     clock.advance(Duration::from_millis(1_999));
     assert!(!deadline.allows_attempt(clock.now()));
 }
 
 #[test]
 fn a_route_admits_no_more_calls_than_its_limit() {
-    let limit = RouteLimiter::new();
+    let limiter = RouteLimiter::new();
     let route = "portal".parse().expect("valid name");
-    let permit = limit
+    let permit = limiter
         .try_acquire(&route, Some(1))
         .expect("no call is in flight");
-    assert!(limit.try_acquire(&route, Some(1)).is_none());
+    assert!(limiter.try_acquire(&route, Some(1)).is_none());
     drop(permit);
-    assert!(limit.try_acquire(&route, Some(1)).is_some());
+    assert!(limiter.try_acquire(&route, Some(1)).is_some());
 }
