--- a/wisteriaturn-cli/src/why.rs
+++ b/wisteriaturn-cli/src/why.rs
@@ -2,8 +2,8 @@
 //! by time.
 //!
 //! Every log line about a request contains the request id that its caller chose.
-//! The path of a request through the mesh can therefore be reconstructed from the logs of the
-//! nodes that it passed through, without an index.
+//! The path of a request through the mesh can therefore be reconstructed from the
+//! logs of the nodes that it passed through, without an index.
 
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
--- a/wisteriaturnd/src/claims/client.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -30,8 +30,9 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How long a release is retried. If it fails, the key stays claimed by an
-/// execution that was never started, which delays the caller but doesn't break the
-/// at-most-once guarantee.
+/// execution that was never started. This delays the caller, because calls with the
+/// key don't run until the claim expires, but doesn't break the at-most-once
+/// guarantee.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[derive(Debug)]
--- a/wisteriaturnd/src/http/pool.rs
+++ b/wisteriaturnd/src/http/pool.rs
@@ -34,8 +34,8 @@
 /// Maximum time for which an idle connection is kept.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time before the keep-alive timeout of the other side at which an idle
-/// connection is no longer used.
+/// How long before the keep-alive timeout of the other side an idle connection
+/// stops being used.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Header that states for how long the other side keeps an idle connection.
--- a/wisteriaturnd/src/mesh/handshake.rs
+++ b/wisteriaturnd/src/mesh/handshake.rs
@@ -4,7 +4,8 @@
 //! keyed hash over both challenges, its role and the kind of port. A recorded
 //! proof can therefore not be replayed on a later connection, on a port of the
 //! other kind or in the other role. The accepting side also sends its boot id,
-//! which tells the connecting side whether a gate can still remember a call.
+//! which shows whether its process was restarted, so that its gate no longer knows
+//! earlier calls.
 
 use std::time::Duration;
 
--- a/wisteriaturnd/src/mesh/prober.rs
+++ b/wisteriaturnd/src/mesh/prober.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Logs that this node became isolated from all others or no longer is.
+/// Logs when this node becomes isolated from all others and when it no longer is.
 fn report_isolation(node: &NodeHandle, state: &mut ProberState) {
     let is_isolated = node.is_isolated();
     if is_isolated != state.was_isolated {
@@ -219,7 +219,7 @@
     rumors::spread(node, Rumor::Member(record)).await;
 }
 
-/// Declares the suspects of this data centre dead that did not refute the
+/// Declares dead those suspects of this data centre that did not refute the
 /// suspicion in time, unless this node's own link appears to be at fault.
 async fn declare_overdue_suspects_dead(node: &NodeHandle) {
     let data_centre = &node.settings.data_centre;
