--- a/tests/integration/process_stop.rs
+++ b/tests/integration/process_stop.rs
@@ -356,8 +356,9 @@
     Ok(())
 }
 
-/// Known red, see KNOWN-RED.txt: when the process of a node ends, the node forgets
-/// which targets have left.
+/// Guards against a late announcement of a draining target that is accepted because
+/// the node was restarted and has lost its state. The node must learn about the
+/// target's departure from its peers when it joins again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_node_refuses_late_words_of_a_target_that_left() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
