--- a/tests/integration/in_process_link.rs
+++ b/tests/integration/embedded_link.rs
@@ -121,7 +121,7 @@
 /// their connections closed after the handshake, each counted by cause.
 #[tokio::test(flavor = "multi_thread")]
 async fn unauthenticated_peers_are_dropped_and_counted() -> Result<()> {
-    let (cluster, nodes, _link) = start().await?;
+    let (cluster, nodes, _forwarder) = start().await?;
     let unauthenticated_socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await?;
     unauthenticated_socket
         .send_to(&[0; 64], cluster.peer(0))
--- a/tests/integration/in_process_partition.rs
+++ b/tests/integration/embedded_partition.rs
@@ -26,14 +26,14 @@
 /// it connects to.
 type CutLinkSet = Arc<Mutex<HashSet<(usize, SocketAddr)>>>;
 
-struct InProcessMesh {
+struct EmbeddedMesh {
     cluster: TestCluster,
     nodes: Vec<RunningNode>,
     cut_links: CutLinkSet,
     nodes_without_log: Arc<Mutex<HashSet<usize>>>,
 }
 
-impl InProcessMesh {
+impl EmbeddedMesh {
     async fn start(count: usize, data_centres: usize) -> Result<Self> {
         let cluster = TestCluster::prepare(ClusterPlan {
             nodes: count,
@@ -166,7 +166,7 @@
 async fn partitioned_regions_keep_working_and_converge_again() -> Result<()> {
     // Nodes 0 to 3 are in the data centres r1-a, r1-b, r2-a and r2-b, and so are
     // nodes 4 to 7.
-    let mesh = InProcessMesh::start(8, 4).await?;
+    let mesh = EmbeddedMesh::start(8, 4).await?;
     let (connected_region, cut_off_region) = ([0, 1, 4, 5], [2, 3, 6, 7]);
     mesh.cut_between(&connected_region, &cut_off_region);
     lock(&mesh.nodes_without_log).extend(cut_off_region);
@@ -224,7 +224,7 @@
 /// suspect, and a node that loses all links must not declare the others dead.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_cut_link_is_tolerated_and_an_isolated_node_is_declared_dead() -> Result<()> {
-    let mesh = InProcessMesh::start(5, 1).await?;
+    let mesh = EmbeddedMesh::start(5, 1).await?;
     // Node 1 cannot reach node 0 directly, but the indirect probes through other
     // nodes succeed.
     lock(&mesh.cut_links).insert((1, mesh.cluster.peer(0)));
--- a/tests/integration/load_replay.rs
+++ b/tests/integration/load_simulation.rs
@@ -27,7 +27,7 @@
 use wisteriaturn::route::cost::{CallRequirements, PlacementRequest, choose_cheapest_target};
 use wisteriaturn::route::load::{AttemptResult, ServiceLoad};
 
-/// Value of a late answer, as a share of one in time.
+/// Value of a late answer, as a share of the value of one in time.
 const LATE_ANSWER_VALUE: f64 = 0.3;
 
 /// Number of refused attempts after which a call fails.
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -1,15 +1,18 @@
 //! The integration tests: table tests and property tests of the library, and tests of whole
-//! meshes of node processes. See `docs/PROOFS.md` for what each of them proves.
+//! meshes. See `docs/PROOFS.md` for what each of them proves.
+//!
+//! The modules `process_*` start each node as a process of its own. The modules `embedded_*`
+//! run several nodes in the test's process, so that single links between them can be cut.
 
 mod config_fold;
 mod document_rules;
 mod edge_rules;
+mod embedded_link;
+mod embedded_partition;
 mod gate_rules;
 mod hostile_bytes;
-mod in_process_link;
-mod in_process_partition;
-mod load_replay;
 mod load_rules;
+mod load_simulation;
 mod member_table;
 mod process_answers;
 mod process_config;
@@ -20,4 +23,4 @@
 mod process_routing;
 mod process_stop;
 mod route_rules;
-mod target_lives;
+mod target_announcements;
--- a/tests/integration/process_stop.rs
+++ b/tests/integration/process_stop.rs
@@ -258,7 +258,7 @@
     let mut connection = HttpConnection::open(ingress).await?;
     cluster.node_process(1).send_signal("TERM");
     cluster
-        .wait_for("the node to close its ingress", async || {
+        .wait_for("the node to report that it is stopping", async || {
             let ready = client::get(cluster.admin(1), "/ready").await;
             ready.is_ok_and(|reply| reply.text().contains("Stopping"))
         })
@@ -287,7 +287,7 @@
     }
     cluster.node_process(0).send_signal("TERM");
     cluster
-        .wait_for("the node to be unready", async || {
+        .wait_for("the node to be not ready", async || {
             let ready = client::get(cluster.admin(0), "/ready").await;
             ready.is_ok_and(|reply| reply.status == 503)
         })
@@ -360,7 +360,7 @@
 /// the node was restarted and has lost its state. The node must learn about the
 /// target's departure from its peers when it joins again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_node_refuses_late_words_of_a_target_that_left() -> Result<()> {
+async fn a_restarted_node_refuses_late_announcements_of_a_departed_target() -> Result<()> {
     let mut cluster = TestCluster::start(ClusterPlan {
         nodes: 2,
         ..ClusterPlan::default()
