--- a/tests/integration/hostile_bytes.rs
+++ b/tests/integration/hostile_bytes.rs
@@ -50,7 +50,7 @@
     fn a_frame_of_any_size_round_trips(length in 0..4 * MIN_COMPRESSED_BYTES, cut in 1..64_usize) {
         let answer = PeerAnswer::Snapshot(vec![7; length].into());
         let frame = encode_frame(&answer).expect("a frame");
-        prop_assert!(frame.len() <= MIN_COMPRESSED_BYTES, "{} bytes of one kind", frame.len());
+        prop_assert!(frame.len() <= MIN_COMPRESSED_BYTES, "{} bytes for a repeated byte", frame.len());
         prop_assert_eq!(decode_frame::<PeerAnswer>(&frame), Ok(answer));
         let cut = frame.len().saturating_sub(cut);
         prop_assert!(decode_frame::<PeerAnswer>(&frame[..cut]).is_err());
@@ -122,7 +122,7 @@
     if !ingress.is_empty() {
         text = text.replace("ingress = \"127.0.0.1:7080\"", ingress);
     }
-    let error = text.parse::<NodeSettings>().expect_err("not allowed");
+    let error = text.parse::<NodeSettings>().expect_err("invalid settings");
     assert!(error.to_string().contains(expected), "{error}");
 }
 
@@ -142,7 +142,7 @@
 #[test]
 fn a_short_mesh_secret_is_rejected_and_not_shown() {
     let text = TRIAL_SETTINGS.replace("a secret for the trial only", "short");
-    let error = text.parse::<NodeSettings>().expect_err("not allowed");
+    let error = text.parse::<NodeSettings>().expect_err("invalid settings");
     assert!(matches!(
         error,
         SettingsError::NotAllowed {
@@ -156,7 +156,7 @@
 #[test]
 fn log_retention_must_be_twice_the_key_lifetime() {
     let text = format!("{TRIAL_SETTINGS}retention_s = 100\n");
-    let error = text.parse::<NodeSettings>().expect_err("not allowed");
+    let error = text.parse::<NodeSettings>().expect_err("invalid settings");
     assert!(error.to_string().contains("log.retention_s"), "{error}");
 }
 
--- a/tests/integration/load_rules.rs
+++ b/tests/integration/load_rules.rs
@@ -226,8 +226,9 @@
 }
 
 impl SelectionFixture {
-    /// Creates one target in the own data centre, one in the region and one in
-    /// another region, all beyond their slow start.
+    /// Returns a fixture with one target in the node's own data centre, one in another
+    /// data centre of its region and one in another region, all past their slow
+    /// start.
     fn new() -> Self {
         let since = Instant::now();
         Self {
--- a/tests/integration/member_table.rs
+++ b/tests/integration/member_table.rs
@@ -79,17 +79,17 @@
     }
 
     #[test]
-    fn a_node_always_outranks_claims_about_itself(
+    fn a_node_outranks_every_received_record_of_itself(
         incarnation in 0..5_u64,
         sequence in 0..9_u64,
     ) {
         let now = Instant::now();
         let mut table = MemberTable::new(record(1, 3, 4, MemberState::Alive), now);
-        let claimed = record(1, incarnation, sequence, MemberState::Dead);
-        table.merge(claimed.clone(), now);
+        let received = record(1, incarnation, sequence, MemberState::Dead);
+        table.merge(received.clone(), now);
         let own = table.own();
         prop_assert_eq!(own.state, MemberState::Alive);
-        prop_assert!(own.rank() > claimed.rank());
+        prop_assert!(own.rank() > received.rank());
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn many_suspects_look_like_a_cut_link() {
+fn a_node_with_many_suspects_is_likely_cut_off() {
     let now = Instant::now();
     let mut table = table_of(2..=9, now);
     let data_centre = "r1-a".parse().expect("valid name");
--- a/tests/integration/process_config.rs
+++ b/tests/integration/process_config.rs
@@ -1,4 +1,4 @@
-//! Tests of configuration changes under failure: invalid batches, concurrent
+//! Tests of configuration changes under failure: invalid changes, concurrent
 //! writers, outages of the log, and restarts with and without the log.
 
 use eyre::Result;
@@ -21,13 +21,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_batch_with_an_invalid_operation_is_rejected_as_a_whole() -> Result<()> {
+async fn a_change_with_an_invalid_operation_is_rejected_as_a_whole() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan::default()).await?;
     cluster.add_service("portal", json!({})).await?;
     let before = get_resources(&cluster, 0).await["resources"].clone();
 
-    let batch = json!([put_service("extra"), put_route("stray", "nowhere")]);
-    let reply = cluster.apply(1, batch).await?;
+    let operations = json!([put_service("extra"), put_route("stray", "nowhere")]);
+    let reply = cluster.apply(1, operations).await?;
 
     assert_eq!(reply.status, 422, "{}", reply.text());
     assert!(reply.text().contains("nowhere"), "{}", reply.text());
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_concurrent_writers_one_wins_on_every_node() -> Result<()> {
+async fn one_of_several_concurrent_writers_wins_on_every_node() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan::default()).await?;
     cluster.add_service("portal", json!({})).await?;
     let current = client::get(cluster.admin(0), "/v1/services/portal").await?;
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_outcome_of_a_lost_or_late_append_is_found_by_reading() -> Result<()> {
+async fn the_outcome_of_an_unanswered_or_late_append_is_found_by_reading_the_log() -> Result<()> {
     let cluster = TestCluster::start(ClusterPlan::default()).await?;
     cluster.set_log_behaviour(r#"{"lose_answers":1}"#).await?;
     let reply = cluster.apply(0, json!([put_service("lost")])).await?;
@@ -153,7 +153,7 @@
         .await?;
     let before = get_resources(&cluster, 0).await;
     // Trim the records that the snapshot covers, so that only the snapshot can
-    // restore them.
+    // restore their resources.
     cluster
         .set_log_behaviour(r#"{"outage":true,"trim":{"config":3}}"#)
         .await?;
@@ -163,7 +163,7 @@
     }
     for index in 0..4 {
         cluster
-            .wait_for("a node that says it is not ready", async || {
+            .wait_for("the node to report that it is not ready", async || {
                 let ready = client::get(cluster.admin(index), "/ready").await;
                 ready.is_ok_and(|reply| reply.status == 503)
             })
@@ -190,10 +190,10 @@
         ..ClusterPlan::default()
     })
     .await?;
-    let batch: Vec<Value> = (0..100)
+    let operations: Vec<Value> = (0..100)
         .map(|number| put_service(&format!("service-{number}")))
         .collect();
-    let version = cluster.apply_accepted(0, json!(batch)).await?;
+    let version = cluster.apply_accepted(0, json!(operations)).await?;
     cluster.wait_version(version).await?;
     cluster.remove_folder();
     Ok(())
--- a/tests/integration/route_rules.rs
+++ b/tests/integration/route_rules.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Two targets in the own data centre, one in another data centre of the region
-/// and one in another region.
+/// Returns two targets in the node's own data centre, one in another data centre of
+/// its region and one in another region.
 fn targets_at_all_distances() -> Vec<TargetEntry> {
     vec![
         target(1, "r1", "r1-a"),
