--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -98,7 +98,7 @@
         let claim = |key| ClaimItem::Claim {
             key: KeyHash(key),
             holder: ClaimHolder {
-                run: CallId(key),
+                call: CallId(key),
                 hop: NodeAddress::from(([127, 0, 0, 1], 7082)),
                 boot_id: BootId(1),
             },
--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -38,7 +38,7 @@
     /// The execution that holds a key.
     pub struct ClaimHolder {
         /// Identifies the execution by the call at the gate that runs it.
-        pub run: CallId,
+        pub call: CallId,
         /// Address at which the gate accepts calls from other nodes.
         pub hop: SocketAddr,
         /// Identifies the run of the gate's process.
@@ -59,7 +59,7 @@
             /// The key.
             key: KeyHash,
             /// The execution that held it.
-            run: CallId,
+            call: CallId,
         },
     }
 
@@ -197,18 +197,18 @@
     fn apply_item(&mut self, item: ClaimItem, wall_ms: u64, expires_ms: u64) -> ClaimOutcome {
         match item {
             ClaimItem::Claim { key, holder } => match self.keys.get(&key) {
-                Some(held) if held.holder.run == holder.run => ClaimOutcome::Won,
+                Some(held) if held.holder.call == holder.call => ClaimOutcome::Won,
                 Some(held) if held.expires_ms > wall_ms => ClaimOutcome::Lost(held.holder.clone()),
                 Some(_) | None => {
                     self.keys.insert(key, HeldClaim { holder, expires_ms });
                     ClaimOutcome::Won
                 }
             },
-            ClaimItem::Release { key, run } => {
+            ClaimItem::Release { key, call } => {
                 if self
                     .keys
                     .get(&key)
-                    .is_some_and(|held| held.holder.run == run)
+                    .is_some_and(|held| held.holder.call == call)
                 {
                     self.keys.remove(&key);
                 }
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -197,9 +197,9 @@
     }
 }
 
-fn holder(run: u128) -> ClaimHolder {
+fn holder(call: u128) -> ClaimHolder {
     ClaimHolder {
-        run: CallId(run),
+        call: CallId(call),
         hop: address(1),
         boot_id: BootId(1),
     }
@@ -215,10 +215,10 @@
     batch.encode().expect("a record").to_vec()
 }
 
-fn claim(key: u128, run: u128) -> ClaimItem {
+fn claim(key: u128, call: u128) -> ClaimItem {
     ClaimItem::Claim {
         key: KeyHash(key),
-        holder: holder(run),
+        holder: holder(call),
     }
 }
 
@@ -231,14 +231,14 @@
     );
     let lost = ClaimOutcome::Lost(holder(1));
     assert_eq!(table.apply(&batch(2, 10, vec![claim(7, 2)])), [lost]);
-    // The same run claims the key again after the answer was lost.
+    // The same call claims the key again after the answer was lost.
     assert_eq!(
         table.apply(&batch(3, 20, vec![claim(7, 1)])),
         [ClaimOutcome::Won]
     );
-    let release = |run| ClaimItem::Release {
+    let release = |call| ClaimItem::Release {
         key: KeyHash(7),
-        run: CallId(run),
+        call: CallId(call),
     };
     // Only the holder can release the key.
     table.apply(&batch(4, 30, vec![release(2)]));
@@ -269,7 +269,7 @@
 
 proptest! {
     #[test]
-    fn two_keepers_never_assign_a_key_to_different_runs(
+    fn two_keepers_never_assign_a_key_to_different_calls(
         claims in prop::collection::vec((0..3_u128, 0..6_u128, any::<bool>()), 0..40),
     ) {
         // Each keeper answers from its own table of the same stream, in which the
@@ -277,8 +277,8 @@
         let mut stream: Vec<Vec<u8>> = Vec::new();
         let mut tables = [ClaimTable::default(), ClaimTable::default()];
         let mut winners: std::collections::HashMap<u128, u128> = Default::default();
-        for (index, (key, run, keeper)) in claims.into_iter().enumerate() {
-            stream.push(batch(index as u128, index as u64, vec![claim(key, run)]));
+        for (index, (key, call, keeper)) in claims.into_iter().enumerate() {
+            stream.push(batch(index as u128, index as u64, vec![claim(key, call)]));
             let table = &mut tables[usize::from(keeper)];
             let mut outcomes = Vec::new();
             while (table.next_offset().0 as usize) < stream.len() {
@@ -286,8 +286,8 @@
                 outcomes = table.apply(&stream[next]);
             }
             if outcomes == [ClaimOutcome::Won] {
-                let winner = winners.entry(key).or_insert(run);
-                prop_assert_eq!(*winner, run);
+                let winner = winners.entry(key).or_insert(call);
+                prop_assert_eq!(*winner, call);
             }
         }
     }
--- a/wisteriaturnd/src/claims/client.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -80,11 +80,11 @@
 
     /// Releases a key whose execution will not be started. The release is sent in the
     /// background.
-    pub fn release(&self, node: &NodeHandle, key: KeyHash, run: CallId) {
+    pub fn release(&self, node: &NodeHandle, key: KeyHash, call: CallId) {
         let node = node.clone();
         let expires_at = node.clock.now() + RELEASE_TIMEOUT;
         tokio::spawn(async move {
-            let item = ClaimItem::Release { key, run };
+            let item = ClaimItem::Release { key, call };
             node.claims.enqueue(key, item, expires_at).await;
         });
     }
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -301,7 +301,7 @@
 
 async fn claim(node: &NodeHandle, call: &GateCall, key: KeyHash) -> ClaimOutcome {
     let holder = ClaimHolder {
-        run: call.call,
+        call: call.call,
         hop: node.settings.hop,
         boot_id: node.boot_id,
     };
@@ -319,11 +319,17 @@
             if holder.boot_id != node.boot_id {
                 return InquiryAnswer::Unknown;
             }
-            return port::inquire(node, INQUIRY_STATUS, holder.run).await;
+            return port::inquire(node, INQUIRY_STATUS, holder.call).await;
         }
-        hop::send_inquiry(node, holder.hop, INQUIRY_STATUS, holder.run, holder.boot_id)
-            .await
-            .unwrap_or(InquiryAnswer::Unknown)
+        hop::send_inquiry(
+            node,
+            holder.hop,
+            INQUIRY_STATUS,
+            holder.call,
+            holder.boot_id,
+        )
+        .await
+        .unwrap_or(InquiryAnswer::Unknown)
     };
     let answer = timeout_at(call.deadline.at().into(), inquiry)
         .await
