--- a/src/config/validate.rs
+++ b/src/config/validate.rs
@@ -25,7 +25,7 @@
 /// The reason why a change, a document or a delta was rejected.
 ///
 /// Rejections are stored in snapshots, and two writers must produce the same
-/// snapshot. So the variants, fields and texts in them cannot change between
+/// snapshot. So the variants, fields and texts in them must be the same in all
 /// builds that run at the same time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[non_exhaustive]
--- a/src/error.rs
+++ b/src/error.rs
@@ -49,7 +49,7 @@
 
 impl std::error::Error for NameError {}
 
-/// An error in encoding or decoding a message of the log or of a peer.
+/// An error in encoding or decoding a log record or a message between nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum CodecError {
--- a/src/gate/quarantine.rs
+++ b/src/gate/quarantine.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 struct SuspectEntry {
     losses: HashMap<NodeAddress, TargetLoss>,
-    last_loss: Instant,
+    last_loss_at: Instant,
 }
 
 impl SuspectEntry {
@@ -98,7 +98,7 @@
             .entry(fingerprint)
             .or_insert_with(|| SuspectEntry {
                 losses: HashMap::new(),
-                last_loss: now,
+                last_loss_at: now,
             });
         let is_known = entry
             .losses
@@ -112,7 +112,7 @@
             is_cleared: false,
         };
         entry.losses.insert(node, loss);
-        entry.last_loss = now;
+        entry.last_loss_at = now;
         true
     }
 
@@ -157,12 +157,12 @@
         let Some(entry) = self.suspects.get(&fingerprint) else {
             return QuarantineStatus::Clean;
         };
-        let until = entry.last_loss + QUARANTINE_DURATION;
+        let until = entry.last_loss_at + QUARANTINE_DURATION;
         let losses = entry.uncleared_losses();
         if losses >= MIN_LOSSES_FOR_QUARANTINE && now < until {
             return QuarantineStatus::Quarantined(until);
         }
-        let is_expired = now >= entry.last_loss + SUSPECT_RETENTION;
+        let is_expired = now >= entry.last_loss_at + SUSPECT_RETENTION;
         if losses == 0 || losses >= MIN_LOSSES_FOR_QUARANTINE || is_expired {
             return QuarantineStatus::Clean;
         }
@@ -176,7 +176,7 @@
             } else {
                 SUSPECT_RETENTION
             };
-            now < entry.last_loss + retention
+            now < entry.last_loss_at + retention
         });
     }
 
@@ -185,7 +185,7 @@
         let evicted = self
             .suspects
             .iter()
-            .min_by_key(|(_, entry)| (entry.uncleared_losses(), entry.last_loss))
+            .min_by_key(|(_, entry)| (entry.uncleared_losses(), entry.last_loss_at))
             .map(|(fingerprint, _)| *fingerprint);
         if let Some(fingerprint) = evicted {
             self.suspects.remove(&fingerprint);
--- a/src/member/pull.rs
+++ b/src/member/pull.rs
@@ -14,7 +14,7 @@
 /// Mbit/s; a change has to be in force within 2 s.
 pub const PULL_LEASE_TTL: Duration = Duration::from_millis(500);
 
-/// The pull in progress, if there is one.
+/// The lease, which is held by the pull in progress, if there is one.
 #[derive(Debug, Default)]
 pub struct PullLease {
     started_at: Option<Instant>,
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -44,7 +44,7 @@
 
 /// The refill rate and the capacity of one node's token bucket.
 #[derive(Debug, Clone, Copy)]
-struct TokenRate {
+struct BucketParameters {
     /// Tokens added per second while there are fewer than `refill_level`.
     refill_per_second: f64,
     /// Number of tokens up to which they are added over time.
@@ -53,8 +53,8 @@
     capacity: f64,
 }
 
-impl TokenRate {
-    /// Returns the rate of a budget without a shared limit.
+impl BucketParameters {
+    /// Returns the parameters of a budget without a shared limit.
     fn unshared() -> Self {
         Self {
             refill_per_second: MIN_RETRIES_PER_SECOND,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the rate of one of `members` nodes that share a limit.
+    /// Returns the parameters of one of `members` nodes that share a limit.
     ///
     /// A node can accumulate as many tokens for a burst as are added over time in
     /// one window. If all nodes spend both, the sum stays below the limit's
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct BudgetState {
     tokens: f64,
-    rate: TokenRate,
+    parameters: BucketParameters,
     refilled_at: Instant,
 }
 
@@ -104,7 +104,7 @@
         Self {
             state: Mutex::new(BudgetState {
                 tokens: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
-                rate: TokenRate::unshared(),
+                parameters: BucketParameters::unshared(),
                 refilled_at,
             }),
             limit: None,
@@ -114,11 +114,11 @@
 
     /// Returns the budget of one of `members` nodes that share a limit.
     pub fn shared(clock: SharedClock, limit: RetryLimit, members: usize) -> Self {
-        let rate = TokenRate::share_of(limit, members);
+        let parameters = BucketParameters::share_of(limit, members);
         Self {
             state: Mutex::new(BudgetState {
-                tokens: rate.refill_level,
-                rate,
+                tokens: parameters.refill_level,
+                parameters,
                 refilled_at: clock.now(),
             }),
             limit: Some(limit),
@@ -129,7 +129,7 @@
     /// Updates the number of nodes that share the limit.
     pub fn set_members(&self, members: usize) {
         if let Some(limit) = self.limit {
-            lock(&self.state).rate = TokenRate::share_of(limit, members);
+            lock(&self.state).parameters = BucketParameters::share_of(limit, members);
         }
     }
 
@@ -143,7 +143,7 @@
             None => f64::from(retry_percent.0) / 100.0,
         };
         let mut state = lock(&self.state);
-        state.tokens = (state.tokens + earned).min(state.rate.capacity.max(state.tokens));
+        state.tokens = (state.tokens + earned).min(state.parameters.capacity.max(state.tokens));
     }
 
     /// Returns `true` if the budget allows a retry, without taking a token.
@@ -167,10 +167,10 @@
         let mut state = lock(&self.state);
         let elapsed = now.duration_since(state.refilled_at).as_secs_f64();
         state.refilled_at = now;
-        let rate = state.rate;
-        if state.tokens < rate.refill_level {
-            let earned = elapsed * rate.refill_per_second;
-            state.tokens = (state.tokens + earned).min(rate.refill_level);
+        let parameters = state.parameters;
+        if state.tokens < parameters.refill_level {
+            let earned = elapsed * parameters.refill_per_second;
+            state.tokens = (state.tokens + earned).min(parameters.refill_level);
         }
         state
     }
