--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Benchmarks of the decisions at 170 services and 1,100 nodes: how long it takes to fold
-//! changes, build views, choose targets and merge member tables, and how large messages,
+//! Benchmarks of a node's decisions with 170 services and 1,100 nodes: how long it takes to
+//! fold changes, build views, choose targets and merge member tables, and how large messages,
 //! snapshots and claim tables are.
 
 use std::sync::Arc;
--- a/testing/src/bin/log-standin.rs
+++ b/testing/src/bin/log-standin.rs
@@ -48,7 +48,7 @@
     /// Number of appends that are answered with status 503 and stored only after
     /// `late_ms`.
     late_appends: u32,
-    /// Time between the answer of a late append and its storing.
+    /// Delay between the response to a late append and the storing of its record.
     late_ms: u64,
     /// First offset that is still available, by stream name.
     trim: HashMap<String, u64>,
--- a/testing/src/bin/target-standin.rs
+++ b/testing/src/bin/target-standin.rs
@@ -243,8 +243,8 @@
     StreamBody::new(futures_util::StreamExt::chain(first, rest)).boxed_unsync()
 }
 
-/// Appends the run's ID to the file before the call does anything else, as a booking
-/// is recorded, so that a run counts even if the process crashes later.
+/// Appends the run's ID to the file before the call does anything else, like a target
+/// that records a booking first. So a run counts even if the process crashes later.
 fn record_run(state: &TargetState, headers: &HeaderMap) {
     let id = headers.get("x-run").and_then(|value| value.to_str().ok());
     let (Some(id), Some(path)) = (id, &state.runs) else {
--- a/testing/src/experiment/callers.rs
+++ b/testing/src/experiment/callers.rs
@@ -13,7 +13,7 @@
 /// Maximum number of attempts per call.
 const MAX_ATTEMPTS: usize = 4;
 
-/// What all callers together have observed.
+/// The outcomes of the calls of all callers.
 #[derive(Debug, Default)]
 pub struct CallerLog {
     /// Number of calls by kind, last outcome and reason.
--- a/testing/src/experiment/chaos.rs
+++ b/testing/src/experiment/chaos.rs
@@ -174,12 +174,12 @@
     let lost = count_lost_versions(cluster, accepted).await;
     let promises = [
         (
-            "most executions of one call that must run once",
+            "most runs of a call that must not run twice",
             max_run_count as u64,
             1,
         ),
-        ("executions among those told not-run", not_run, 0),
-        ("told done without an execution", done_not_run, 0),
+        ("calls reported as not-run that ran", not_run, 0),
+        ("calls reported as done that did not run", done_not_run, 0),
         (
             "version regressions",
             views.regressions.lock().expect("no panic").len() as u64,
@@ -197,14 +197,14 @@
         ),
         ("calls cut by planned stops", cut, 0),
         (
-            "planned stops that did not end",
+            "planned stops that did not exit with status 0",
             u64::from(faults.failed_stops),
             0,
         ),
         ("accepted versions lost", lost, 0),
         ("invariant violations in the nodes", violations as u64, 0),
         (
-            "nodes that ended by themselves",
+            "nodes that exited unexpectedly",
             u64::from(cluster.has_crashed_node()),
             0,
         ),
@@ -295,7 +295,7 @@
     cut.iter().filter(is_cut).count() as u64
 }
 
-/// Returns 1 if node 0 holds an older version than the newest accepted one, or 0.
+/// Returns 1 if node 0 holds an older version than the newest accepted one, and 0 otherwise.
 async fn count_lost_versions(cluster: &TestCluster, accepted: &AcceptedVersions) -> u64 {
     let newest = accepted
         .iter()
--- a/testing/src/experiment/observer.rs
+++ b/testing/src/experiment/observer.rs
@@ -15,7 +15,7 @@
 /// Interval between two requests to a node.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What was observed of all nodes.
+/// Observations of the configuration versions and references of all nodes.
 #[derive(Debug)]
 pub struct ViewLog {
     /// For each node, each new highest version and the time at which it was first seen.
@@ -24,10 +24,11 @@
     pub regressions: Mutex<Vec<String>>,
     /// Services that a route names although the node's configuration doesn't have them.
     pub missing_services: Mutex<Vec<String>>,
-    /// For each node, since when a fault has kept it down, in which time it can't
-    /// converge.
+    /// For each node, the time at which a fault took it down, or `None` if it is up. A
+    /// node that is down can't converge.
     pub down_since: Mutex<Vec<Option<Instant>>>,
-    /// For each node, when its last fault ended, or when the log was created.
+    /// For each node, the time at which its last fault ended, or at which this log was
+    /// created.
     pub up_since: Mutex<Vec<Instant>>,
 }
 
--- a/testing/src/experiment/scale.rs
+++ b/testing/src/experiment/scale.rs
@@ -1,6 +1,6 @@
 //! Resource use of a node that knows as many services and members as the users expect.
-//! Only a few nodes run; the other members are made up, placed in other data centres and
-//! written into the member table through the peer port.
+//! Only a few nodes run; the other members are fake records of other data centres, which
+//! are merged into the member table through the peer port.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-/// Returns the record of a made-up member with one target.
+/// Returns the record of a fake member with one target.
 fn fake_member(number: usize, sequence: u64) -> MemberRecord {
     // The nodes that run are in the first data centre.
     let (region, data_centre) = DATA_CENTRES[1 + number % (DATA_CENTRES.len() - 1)];
