--- a/src/gate/claim.rs
+++ b/src/gate/claim.rs
@@ -22,8 +22,8 @@
 use crate::error::CodecError;
 use crate::ids::{BootId, CallId, KeyHash, Offset};
 
-/// Format version, the first byte of a claim record.
-pub const CLAIM_FORMAT_VERSION: u8 = 1;
+/// Format number in the first byte of a claim record.
+pub const CLAIM_FORMAT: u8 = 1;
 
 /// Number of log streams among which keys are distributed.
 pub const CLAIM_STREAM_COUNT: u32 = 4;
@@ -38,7 +38,7 @@
     /// The execution that holds a key.
     pub struct ClaimHolder {
         /// Identifies the execution by the call at the gate that runs it.
-        pub run: CallId,
+        pub call: CallId,
         /// Address at which the gate accepts calls from other nodes.
         pub hop: SocketAddr,
         /// Identifies the run of the gate's process.
@@ -59,7 +59,7 @@
             /// The key.
             key: KeyHash,
             /// The execution that held it.
-            run: CallId,
+            call: CallId,
         },
     }
 
@@ -98,7 +98,7 @@
 impl ClaimBatch {
     /// Encodes the batch as a log record.
     pub fn encode(&self) -> Result<Bytes, CodecError> {
-        let mut record = vec![CLAIM_FORMAT_VERSION];
+        let mut record = vec![CLAIM_FORMAT];
         record.extend(postcard::to_stdvec(self).map_err(|_| CodecError::Malformed)?);
         Ok(Bytes::from(record))
     }
@@ -109,7 +109,7 @@
 
     fn try_from(record: &[u8]) -> Result<Self, CodecError> {
         match record.split_first() {
-            Some((&CLAIM_FORMAT_VERSION, body)) => match postcard::take_from_bytes(body) {
+            Some((&CLAIM_FORMAT, body)) => match postcard::take_from_bytes(body) {
                 Ok((batch, [])) => Ok(batch),
                 Ok(_) | Err(_) => Err(CodecError::Malformed),
             },
@@ -197,18 +197,18 @@
     fn apply_item(&mut self, item: ClaimItem, wall_ms: u64, expires_ms: u64) -> ClaimOutcome {
         match item {
             ClaimItem::Claim { key, holder } => match self.keys.get(&key) {
-                Some(held) if held.holder.run == holder.run => ClaimOutcome::Won,
+                Some(held) if held.holder.call == holder.call => ClaimOutcome::Won,
                 Some(held) if held.expires_ms > wall_ms => ClaimOutcome::Lost(held.holder.clone()),
                 Some(_) | None => {
                     self.keys.insert(key, HeldClaim { holder, expires_ms });
                     ClaimOutcome::Won
                 }
             },
-            ClaimItem::Release { key, run } => {
+            ClaimItem::Release { key, call } => {
                 if self
                     .keys
                     .get(&key)
-                    .is_some_and(|held| held.holder.run == run)
+                    .is_some_and(|held| held.holder.call == call)
                 {
                     self.keys.remove(&key);
                 }
--- a/src/gate/slots.rs
+++ b/src/gate/slots.rs
@@ -45,8 +45,8 @@
 pub const LIKELY_RUN_FACTOR: f64 = 1.3;
 
 /// Divisor of the moving average of run times: a new sample is weighted with
-/// 1 / `MEAN_RUN_DIVISOR`.
-const MEAN_RUN_DIVISOR: u32 = 8;
+/// 1 / `MEAN_RUN_TIME_DIVISOR`.
+const MEAN_RUN_TIME_DIVISOR: u32 = 8;
 
 /// The rank of a call in the queue: by class, then by priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -73,7 +73,7 @@
     /// Time after which the answer is useless.
     pub deadline: Instant,
     /// Expected time for which the call holds the slot.
-    pub expected_run: Duration,
+    pub expected_run_time: Duration,
     /// Longest wait that is still better than trying another target, as sent in
     /// `wisteriaturn-patience-ms`.
     pub max_wait: Duration,
@@ -83,13 +83,14 @@
     /// Returns `true` if a call that starts at `start` will probably meet its soft
     /// deadline.
     fn is_in_time(&self, start: Instant) -> bool {
-        start + self.expected_run.mul_f64(LIKELY_RUN_FACTOR) <= self.soft_deadline
+        start + self.expected_run_time.mul_f64(LIKELY_RUN_FACTOR) <= self.soft_deadline
     }
 
     /// Returns `true` if a call that starts at `start` may finish before its
     /// deadline.
     fn can_finish(&self, start: Instant) -> bool {
-        start < self.deadline && start + self.expected_run.mul_f64(MIN_RUN_FACTOR) <= self.deadline
+        start < self.deadline
+            && start + self.expected_run_time.mul_f64(MIN_RUN_FACTOR) <= self.deadline
     }
 }
 
@@ -109,7 +110,7 @@
     is_draining: bool,
     next_sequence: u64,
     waiting: BTreeMap<QueueKey, WaitingCall>,
-    mean_run: Duration,
+    mean_run_time: Duration,
 }
 
 /// Admits calls to a target. Clones are cheap and share the slots and the queue.
@@ -123,7 +124,7 @@
 #[derive(Debug)]
 pub struct SlotPermit {
     gate: SlotGate,
-    started: Instant,
+    started_at: Instant,
 }
 
 /// The load of a gate.
@@ -136,7 +137,7 @@
     /// Number of waiting calls.
     pub waiting: usize,
     /// Moving average of the time for which calls hold a slot.
-    pub mean_run: Duration,
+    pub mean_run_time: Duration,
 }
 
 impl GateLoad {
@@ -145,10 +146,10 @@
         if self.busy < self.slots && self.waiting == 0 {
             return Duration::ZERO;
         }
-        // With all slots in use, one call finishes every `mean_run / slots`.
+        // With all slots in use, one call finishes every `mean_run_time / slots`.
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
         let ahead = u32::try_from(self.waiting + 1).unwrap_or(u32::MAX);
-        self.mean_run / slots * ahead
+        self.mean_run_time / slots * ahead
     }
 }
 
@@ -162,7 +163,7 @@
                 is_draining: false,
                 next_sequence: 0,
                 waiting: BTreeMap::new(),
-                mean_run: Duration::ZERO,
+                mean_run_time: Duration::ZERO,
             })),
             clock,
         }
@@ -200,7 +201,7 @@
             slots: state.slots,
             busy: state.busy,
             waiting: state.waiting.len(),
-            mean_run: state.mean_run,
+            mean_run_time: state.mean_run_time,
         }
     }
 
@@ -219,7 +220,7 @@
             rank: QueueRank::new(class, CallPriority::default()),
             soft_deadline: deadline,
             deadline,
-            expected_run: Duration::ZERO,
+            expected_run_time: Duration::ZERO,
             max_wait: Duration::MAX,
         };
         self.acquire_for(request).await
@@ -272,10 +273,10 @@
         Ok(Admission::Waiting(receiver))
     }
 
-    fn permit(&self, started: Instant) -> SlotPermit {
+    fn permit(&self, started_at: Instant) -> SlotPermit {
         SlotPermit {
             gate: self.clone(),
-            started,
+            started_at,
         }
     }
 
@@ -330,10 +331,10 @@
     /// Returns the expected wait of a call with `ahead` calls in front of it in
     /// the queue.
     fn expected_wait(&self, ahead: usize) -> Duration {
-        // With all slots in use, one call finishes every `mean_run / slots`.
+        // With all slots in use, one call finishes every `mean_run_time / slots`.
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
         let ahead = u32::try_from(ahead + 1).unwrap_or(u32::MAX);
-        self.mean_run / slots * ahead
+        self.mean_run_time / slots * ahead
     }
 
     fn can_queue_late(&self, now: Instant) -> bool {
@@ -345,9 +346,9 @@
         (late as f64) < self.slots as f64 * MAX_LATE_PER_SLOT
     }
 
-    /// Removes and returns the late calls that exceed the limit, first in the
-    /// queue first. These have the least time left within their rank, and would
-    /// wait in vain while calls that can be in time keep arriving.
+    /// Removes and returns the late calls that exceed the limit, starting at the
+    /// front of the queue. These have the least time left within their rank, and
+    /// would wait in vain while calls that can be in time keep arriving.
     fn take_surplus_late(&mut self, now: Instant) -> Vec<WaitingCall> {
         let late: Vec<QueueKey> = self
             .waiting
@@ -399,14 +400,15 @@
 
 impl Drop for SlotPermit {
     fn drop(&mut self) {
-        let run = self.gate.clock.now().duration_since(self.started);
+        let run_time = self.gate.clock.now().duration_since(self.started_at);
         {
             let mut state = lock(&self.gate.state);
             state.busy -= 1;
-            state.mean_run = if state.mean_run.is_zero() {
-                run
+            state.mean_run_time = if state.mean_run_time.is_zero() {
+                run_time
             } else {
-                (state.mean_run * (MEAN_RUN_DIVISOR - 1) + run) / MEAN_RUN_DIVISOR
+                (state.mean_run_time * (MEAN_RUN_TIME_DIVISOR - 1) + run_time)
+                    / MEAN_RUN_TIME_DIVISOR
             };
         }
         self.gate.assign_free_slots();
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -19,7 +19,8 @@
 /// failures.
 pub const MAX_TOKENS: f64 = 100.0;
 
-/// Time for which tokens that are added over time accumulate.
+/// Time over which the tokens that are added per unit of time can accumulate.
+/// Beyond that, only first attempts add tokens.
 pub const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
 /// A limit on the retries that all nodes together send to one service.
@@ -43,7 +44,7 @@
 
 /// The refill rate and the capacity of one node's token bucket.
 #[derive(Debug, Clone, Copy)]
-struct TokenRate {
+struct BucketParameters {
     /// Tokens added per second while there are fewer than `refill_level`.
     refill_per_second: f64,
     /// Number of tokens up to which they are added over time.
@@ -52,8 +53,8 @@
     capacity: f64,
 }
 
-impl TokenRate {
-    /// Returns the rate of a budget without a shared limit.
+impl BucketParameters {
+    /// Returns the parameters of a budget without a shared limit.
     fn unshared() -> Self {
         Self {
             refill_per_second: MIN_RETRIES_PER_SECOND,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Returns the rate of one of `members` nodes that share a limit.
+    /// Returns the parameters of one of `members` nodes that share a limit.
     ///
     /// A node can accumulate as many tokens for a burst as are added over time in
     /// one window. If all nodes spend both, the sum stays below the limit's
@@ -83,8 +84,8 @@
 #[derive(Debug)]
 struct BudgetState {
     tokens: f64,
-    rate: TokenRate,
-    refilled: Instant,
+    parameters: BucketParameters,
+    refilled_at: Instant,
 }
 
 /// The budget of one node for retries to one service.
@@ -99,12 +100,12 @@
     /// Returns a budget without a shared limit. It starts with the tokens that are
     /// added over time in [`BUDGET_WINDOW`].
     pub fn new(clock: SharedClock) -> Self {
-        let refilled = clock.now();
+        let refilled_at = clock.now();
         Self {
             state: Mutex::new(BudgetState {
                 tokens: MIN_RETRIES_PER_SECOND * BUDGET_WINDOW.as_secs_f64(),
-                rate: TokenRate::unshared(),
-                refilled,
+                parameters: BucketParameters::unshared(),
+                refilled_at,
             }),
             limit: None,
             clock,
@@ -113,12 +114,12 @@
 
     /// Returns the budget of one of `members` nodes that share a limit.
     pub fn shared(clock: SharedClock, limit: RetryLimit, members: usize) -> Self {
-        let rate = TokenRate::share_of(limit, members);
+        let parameters = BucketParameters::share_of(limit, members);
         Self {
             state: Mutex::new(BudgetState {
-                tokens: rate.refill_level,
-                rate,
-                refilled: clock.now(),
+                tokens: parameters.refill_level,
+                parameters,
+                refilled_at: clock.now(),
             }),
             limit: Some(limit),
             clock,
@@ -128,7 +129,7 @@
     /// Updates the number of nodes that share the limit.
     pub fn set_members(&self, members: usize) {
         if let Some(limit) = self.limit {
-            lock(&self.state).rate = TokenRate::share_of(limit, members);
+            lock(&self.state).parameters = BucketParameters::share_of(limit, members);
         }
     }
 
@@ -142,7 +143,7 @@
             None => f64::from(retry_percent.0) / 100.0,
         };
         let mut state = lock(&self.state);
-        state.tokens = (state.tokens + earned).min(state.rate.capacity.max(state.tokens));
+        state.tokens = (state.tokens + earned).min(state.parameters.capacity.max(state.tokens));
     }
 
     /// Returns `true` if the budget allows a retry, without taking a token.
@@ -164,12 +165,12 @@
     fn refill(&self) -> std::sync::MutexGuard<'_, BudgetState> {
         let now = self.clock.now();
         let mut state = lock(&self.state);
-        let elapsed = now.duration_since(state.refilled).as_secs_f64();
-        state.refilled = now;
-        let rate = state.rate;
-        if state.tokens < rate.refill_level {
-            let earned = elapsed * rate.refill_per_second;
-            state.tokens = (state.tokens + earned).min(rate.refill_level);
+        let elapsed = now.duration_since(state.refilled_at).as_secs_f64();
+        state.refilled_at = now;
+        let parameters = state.parameters;
+        if state.tokens < parameters.refill_level {
+            let earned = elapsed * parameters.refill_per_second;
+            state.tokens = (state.tokens + earned).min(parameters.refill_level);
         }
         state
     }
--- a/tests/integration/gate_rules.rs
+++ b/tests/integration/gate_rules.rs
@@ -182,7 +182,7 @@
                     let index = usize::from(call);
                     if let CallStatus::NotRun(_) = ledger.revoke(CallId(call.into())) {
                         // The result of a call that ran is stored for as long
-                        // as a node may query it, which is longer than the
+                        // as a node may inquire about it, which is longer than the
                         // steps of this test take.
                         prop_assert_eq!(started[index], 0);
                         reported_not_run[index] = true;
@@ -191,15 +191,15 @@
                 LedgerStep::Wait(ms) => clock.advance(Duration::from_millis(ms.into())),
             }
         }
-        for rule in INVARIANTS {
-            prop_assert_eq!(violations(rule), 0);
+        for invariant in INVARIANTS {
+            prop_assert_eq!(violations(invariant), 0);
         }
     }
 }
 
-fn holder(run: u128) -> ClaimHolder {
+fn holder(call: u128) -> ClaimHolder {
     ClaimHolder {
-        run: CallId(run),
+        call: CallId(call),
         hop: address(1),
         boot_id: BootId(1),
     }
@@ -215,10 +215,10 @@
     batch.encode().expect("a record").to_vec()
 }
 
-fn claim(key: u128, run: u128) -> ClaimItem {
+fn claim(key: u128, call: u128) -> ClaimItem {
     ClaimItem::Claim {
         key: KeyHash(key),
-        holder: holder(run),
+        holder: holder(call),
     }
 }
 
@@ -231,14 +231,14 @@
     );
     let lost = ClaimOutcome::Lost(holder(1));
     assert_eq!(table.apply(&batch(2, 10, vec![claim(7, 2)])), [lost]);
-    // The same run claims the key again after the answer was lost.
+    // The same call claims the key again after the answer was lost.
     assert_eq!(
         table.apply(&batch(3, 20, vec![claim(7, 1)])),
         [ClaimOutcome::Won]
     );
-    let release = |run| ClaimItem::Release {
+    let release = |call| ClaimItem::Release {
         key: KeyHash(7),
-        run: CallId(run),
+        call: CallId(call),
     };
     // Only the holder can release the key.
     table.apply(&batch(4, 30, vec![release(2)]));
@@ -269,7 +269,7 @@
 
 proptest! {
     #[test]
-    fn two_keepers_never_assign_a_key_to_different_runs(
+    fn two_keepers_never_assign_a_key_to_different_calls(
         claims in prop::collection::vec((0..3_u128, 0..6_u128, any::<bool>()), 0..40),
     ) {
         // Each keeper answers from its own table of the same stream, in which the
@@ -277,8 +277,8 @@
         let mut stream: Vec<Vec<u8>> = Vec::new();
         let mut tables = [ClaimTable::default(), ClaimTable::default()];
         let mut winners: std::collections::HashMap<u128, u128> = Default::default();
-        for (index, (key, run, keeper)) in claims.into_iter().enumerate() {
-            stream.push(batch(index as u128, index as u64, vec![claim(key, run)]));
+        for (index, (key, call, keeper)) in claims.into_iter().enumerate() {
+            stream.push(batch(index as u128, index as u64, vec![claim(key, call)]));
             let table = &mut tables[usize::from(keeper)];
             let mut outcomes = Vec::new();
             while (table.next_offset().0 as usize) < stream.len() {
@@ -286,8 +286,8 @@
                 outcomes = table.apply(&stream[next]);
             }
             if outcomes == [ClaimOutcome::Won] {
-                let winner = winners.entry(key).or_insert(run);
-                prop_assert_eq!(*winner, run);
+                let winner = winners.entry(key).or_insert(call);
+                prop_assert_eq!(*winner, call);
             }
         }
     }
@@ -297,24 +297,27 @@
 fn two_lost_targets_quarantine_a_request_until_it_expires() {
     let now = Instant::now();
     let mut table = SuspectTable::new();
-    let (bad, page) = (Fingerprint(1), Fingerprint(2));
-    assert!(table.record_target_loss(bad, address(1), 5, now));
+    let (crashing, page) = (Fingerprint(1), Fingerprint(2));
+    assert!(table.record_target_loss(crashing, address(1), 5, now));
     assert!(
-        !table.record_target_loss(bad, address(1), 5, now),
-        "the same loss is reported twice"
+        !table.record_target_loss(crashing, address(1), 5, now),
+        "the same loss, reported again"
     );
-    assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
+    assert_eq!(table.status(crashing, now), QuarantineStatus::Suspect);
     assert!(
-        table.record_target_loss(bad, address(1), 6, now),
+        table.record_target_loss(crashing, address(1), 6, now),
         "another loss of the same target"
     );
-    assert_eq!(table.status(bad, now), QuarantineStatus::Suspect);
-    table.record_target_loss(bad, address(2), 1, now);
+    assert_eq!(table.status(crashing, now), QuarantineStatus::Suspect);
+    table.record_target_loss(crashing, address(2), 1, now);
     let until = now + QUARANTINE_DURATION;
-    assert_eq!(table.status(bad, now), QuarantineStatus::Quarantined(until));
+    assert_eq!(
+        table.status(crashing, now),
+        QuarantineStatus::Quarantined(until)
+    );
     // A later success does not end the quarantine; only its expiry does.
-    assert!(!table.record_success(bad));
-    assert_eq!(table.status(bad, until), QuarantineStatus::Clean);
+    assert!(!table.record_success(crashing));
+    assert_eq!(table.status(crashing, until), QuarantineStatus::Clean);
 
     table.record_target_loss(page, address(1), 7, now);
     assert!(table.record_success(page), "a success clears a suspect");
--- a/tests/integration/member_table.rs
+++ b/tests/integration/member_table.rs
@@ -1,6 +1,6 @@
 //! Tests of membership: the order of rumors does not matter, a suspect can
-//! refute, and a cut link of the own node is not mistaken for the loss of many
-//! members.
+//! refute the suspicion, and a node whose own link is cut does not take the
+//! other members for lost.
 
 use std::time::{Duration, Instant};
 
@@ -79,17 +79,17 @@
     }
 
     #[test]
-    fn a_node_always_outranks_claims_about_itself(
+    fn a_node_outranks_every_received_record_of_itself(
         incarnation in 0..5_u64,
         sequence in 0..9_u64,
     ) {
         let now = Instant::now();
         let mut table = MemberTable::new(record(1, 3, 4, MemberState::Alive), now);
-        let claimed = record(1, incarnation, sequence, MemberState::Dead);
-        table.merge(claimed.clone(), now);
+        let received = record(1, incarnation, sequence, MemberState::Dead);
+        table.merge(received.clone(), now);
         let own = table.own();
         prop_assert_eq!(own.state, MemberState::Alive);
-        prop_assert!(own.rank() > claimed.rank());
+        prop_assert!(own.rank() > received.rank());
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn many_suspects_look_like_a_cut_link() {
+fn a_node_with_many_suspects_is_likely_cut_off() {
     let now = Instant::now();
     let mut table = table_of(2..=9, now);
     let data_centre = "r1-a".parse().expect("valid name");
@@ -151,8 +151,8 @@
         ConfigVersion(7)
     );
     assert_eq!(table.merge(alive(2), now), MergeOutcome::Unchanged);
-    let back = record(2, 2, 0, MemberState::Alive);
-    assert_eq!(table.merge(back, now), MergeOutcome::Applied);
+    let restarted = record(2, 2, 0, MemberState::Alive);
+    assert_eq!(table.merge(restarted, now), MergeOutcome::Applied);
     assert_eq!(
         table.get(address(2)).expect("a member").held_version,
         ConfigVersion(7)
--- a/wisteriaturnd/src/claims/client.rs
+++ b/wisteriaturnd/src/claims/client.rs
@@ -4,7 +4,7 @@
 //! flight and sends them together, so that a keeper receives one message for many
 //! calls. If a request fails, the task sends it again, to another keeper if the
 //! member table by then assigns the stream to one. Sending a claim twice is safe,
-//! because an execution that already holds its key wins again.
+//! because a claim by the execution that already holds the key is won again.
 
 use std::time::{Duration, Instant};
 
@@ -30,8 +30,9 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How long a release is retried. If it fails, the key stays claimed by an
-/// execution that was never started, which delays the caller but doesn't break the
-/// at-most-once guarantee.
+/// execution that was never started. This delays the caller, because calls with the
+/// key don't run until the claim expires, but doesn't break the at-most-once
+/// guarantee.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[derive(Debug)]
@@ -79,11 +80,11 @@
 
     /// Releases a key whose execution will not be started. The release is sent in the
     /// background.
-    pub fn release(&self, node: &NodeHandle, key: KeyHash, run: CallId) {
+    pub fn release(&self, node: &NodeHandle, key: KeyHash, call: CallId) {
         let node = node.clone();
         let expires_at = node.clock.now() + RELEASE_TIMEOUT;
         tokio::spawn(async move {
-            let item = ClaimItem::Release { key, run };
+            let item = ClaimItem::Release { key, call };
             node.claims.enqueue(key, item, expires_at).await;
         });
     }
--- a/wisteriaturnd/src/gate/run.rs
+++ b/wisteriaturnd/src/gate/run.rs
@@ -232,8 +232,8 @@
         };
         let timeout = self.node.settings.tuning.stall_timeout;
         let body = pooled_body(body, connection, &self.node.target_pool, timeout, |_| ());
-        let until = self.call.deadline.at().into();
-        match timeout_at(until, BufferedBody::read(body, MAX_STORED_BODY_BYTES)).await {
+        let deadline = self.call.deadline.at().into();
+        match timeout_at(deadline, BufferedBody::read(body, MAX_STORED_BODY_BYTES)).await {
             Ok(Ok(BufferedBody::Whole(body))) => self.store(StoredAnswer { body, ..answer }),
             Ok(Ok(large)) => self.stream(&answer, large),
             Ok(Err(_)) => self.finish_lost(RefusalReason::TargetLost).await,
@@ -301,7 +301,7 @@
 
 async fn claim(node: &NodeHandle, call: &GateCall, key: KeyHash) -> ClaimOutcome {
     let holder = ClaimHolder {
-        run: call.call,
+        call: call.call,
         hop: node.settings.hop,
         boot_id: node.boot_id,
     };
@@ -319,11 +319,17 @@
             if holder.boot_id != node.boot_id {
                 return InquiryAnswer::Unknown;
             }
-            return port::inquire(node, INQUIRY_STATUS, holder.run).await;
+            return port::inquire(node, INQUIRY_STATUS, holder.call).await;
         }
-        hop::send_inquiry(node, holder.hop, INQUIRY_STATUS, holder.run, holder.boot_id)
-            .await
-            .unwrap_or(InquiryAnswer::Unknown)
+        hop::send_inquiry(
+            node,
+            holder.hop,
+            INQUIRY_STATUS,
+            holder.call,
+            holder.boot_id,
+        )
+        .await
+        .unwrap_or(InquiryAnswer::Unknown)
     };
     let answer = timeout_at(call.deadline.at().into(), inquiry)
         .await
